--- a/src/gateway/budget_book.cpp
+++ b/src/gateway/budget_book.cpp
@@ -18,21 +18,24 @@
 {
 
 constexpr auto policy = config::budget_policy::false_refusals_first;
-constexpr duration tick_time{40};
-/// The least share, as a part of what was paid: enough for some requests of a
-/// small customer while the store is away. A share by the size of single
-/// requests would scatter all of a small budget over idle routers.
-constexpr token_count least_share_part = 60;
-/// All routers of a site start together; drawn at once, n routers make n * n /
-/// 2 tries for each budget.
+constexpr duration tick_interval{40};
+/// Divisor of the paid amount that gives the smallest share: enough for some
+/// requests of a small customer while the store is away. A minimum based on the
+/// size of single requests would scatter all of a small budget over idle
+/// routers.
+constexpr token_count least_share_divisor = 60;
+/// Routers that start together spread their first draws over this time. If all
+/// n routers draw at once, conflicts cause about n * n / 2 attempts for each
+/// budget.
 constexpr std::uint64_t first_draw_spread_ms = 5'000;
 
-/// Before any request a budget is taken to be made for so many: the first
-/// shares are even, and the first traffic corrects them.
-constexpr double first_requests = 400;
-/// The mean size of requests follows some ten of them.
-constexpr double size_weight = 0.1;
-constexpr double size_weight_of_all = 0.02;
+/// The request size assumed before any request is the paid amount divided by
+/// this. First shares are then equal, and the first traffic corrects them.
+constexpr double assumed_requests = 400;
+/// Weights of the moving averages of request sizes: over about ten requests of
+/// a budget, and about fifty of all budgets.
+constexpr double request_size_weight = 0.1;
+constexpr double overall_request_size_weight = 0.02;
 
 } // namespace
 
@@ -53,30 +56,30 @@
     decision_log& log)
     : executor{executor}, timer{executor}, port{port}, vm{vm},
       incarnation{incarnation}, log{log},
-      spending{executor,
-               std::move(port),
-               std::move(vm),
-               std::move(address),
-               incarnation,
-               {[this] { return this->wanted_lines(); },
-                [this] { return this->holdings_to_tell(); },
-                [this] { return this->row_pause(); },
-                [this] { this->pass_on(); },
-                [this](auto const& dead, auto const& left)
-                {
-                    this->inherit(dead, left);
-                }},
-               log},
-      exchange{std::move(peer_address), std::move(incarnation),
-               this->share_for_peers(), this->now,
-               std::move(send),         log}
+      spend_writer{executor,
+                   std::move(port),
+                   std::move(vm),
+                   std::move(address),
+                   incarnation,
+                   {[this] { return this->required_spend_limits(); },
+                    [this] { return this->holdings_to_report(); },
+                    [this] { return this->spend_row_interval(); },
+                    [this] { this->settle_all_waiting(); },
+                    [this](auto const& dead, auto const& limits)
+                    {
+                        this->inherit(dead, limits);
+                    }},
+                   log},
+      exchange{std::move(peer_address),   std::move(incarnation),
+               this->make_share_access(), this->now,
+               std::move(send),           log}
 {
 }
 
 void budget_book::start()
 {
-    this->began = this->now.now();
-    this->spending.start();
+    this->started_at = this->now.now();
+    this->spend_writer.start();
     this->follow_rows();
     this->tick();
 }
@@ -88,12 +91,12 @@
     if (added)
     {
         of.share = budget::make_share(budget, policy, share_sizes());
-        of.share.last_amount = 1; // a first share before any request
+        of.share.last_amount = 1; // draws a first share before any request
         of.holder = {this->incarnation, 1};
         auto const drawn =
             fleet::stable_hash(this->incarnation.value + "/" + budget.value) %
             first_draw_spread_ms;
-        of.draws_from =
+        of.first_draw_at =
             this->now.now() + duration{static_cast<std::int64_t>(drawn)};
     }
     return of;
@@ -112,11 +115,12 @@
         if (*customer.paid > of.paid)
         {
             of.paid = *customer.paid;
-            of.share.sizes.least_ahead = of.paid / least_share_part;
+            of.share.sizes.least_ahead = of.paid / least_share_divisor;
             if (of.mean_request == 0)
             {
-                of.mean_request = static_cast<double>(of.paid) / first_requests;
-                of.mean_square = of.mean_request * of.mean_request;
+                of.mean_request =
+                    static_cast<double>(of.paid) / assumed_requests;
+                of.mean_squared_request = of.mean_request * of.mean_request;
             }
             of.raise_paid();
             of.share.fruitless.reset();
@@ -129,7 +133,7 @@
     }
 }
 
-void budget_book::pass_on()
+void budget_book::settle_all_waiting()
 {
     for (auto& [id, of] : this->accounts)
     {
@@ -148,14 +152,16 @@
         return;
     }
     auto& of = found->second;
-    this->exchange.note_request(budget, this->now.now());
+    this->exchange.count_request(budget, this->now.now());
     auto const size = static_cast<double>(amount);
-    this->mean_of_all += this->mean_of_all > 0
-                             ? size_weight_of_all * (size - this->mean_of_all)
-                             : size;
-    of.mean_request += size_weight * (size - of.mean_request);
-    of.mean_square += size_weight * (size * size - of.mean_square);
-    this->set_limit(of);
+    this->mean_request_of_all +=
+        this->mean_request_of_all > 0
+            ? overall_request_size_weight * (size - this->mean_request_of_all)
+            : size;
+    of.mean_request += request_size_weight * (size - of.mean_request);
+    of.mean_squared_request +=
+        request_size_weight * (size * size - of.mean_squared_request);
+    this->update_spend_limit(of);
     auto outcome = budget::reserve(
         std::move(of.share), {request, budget, policy, amount, wait, false},
         this->now.now());
@@ -167,10 +173,10 @@
     else
     {
         this->waiting.emplace(request, std::move(done));
-        this->raise_line(of);
-        if (this->asks_peers())
+        this->request_limit_raise(of);
+        if (this->is_large_fleet())
         {
-            this->exchange.want(budget, this->now.now());
+            this->exchange.request_tokens(budget, this->now.now());
         }
     }
     this->step(budget);
@@ -194,7 +200,8 @@
     of.share = std::move(ended.state);
     if (ended.accepted)
     {
-        // There is no ledger to write: the share row alone bounds the spend.
+        // No ledger is written here: the share row alone bounds what
+        // is spent.
         of.share = budget::settled(std::move(of.share), ended.cost.tokens);
     }
     this->settle_waiting(of);
@@ -239,8 +246,9 @@
 {
     this->closing = true;
     this->closing_since = this->now.now();
-    // What stays here is for the next process at this address.
-    this->spending.hurry();
+    // A last spend row lets the next process at this address take over what is
+    // not returned.
+    this->spend_writer.write_soon();
     for (auto& [id, of] : this->accounts)
     {
         of.share = budget::close(std::move(of.share));
@@ -250,16 +258,17 @@
 
 bool budget_book::closed() const
 {
-    if (this->asks_peers() &&
-        !this->spending.has_written_since(this->closing_since))
+    if (this->is_large_fleet() &&
+        !this->spend_writer.has_written_since(this->closing_since))
     {
         return false;
     }
-    // A share on its way here has to arrive before it can be given back.
+    // A takeover has to finish before its tokens can be returned.
     return std::all_of(this->accounts.begin(), this->accounts.end(),
-                       [](auto const& entry) {
+                       [](auto const& entry)
+                       {
                            return budget::is_closed(entry.second.share) &&
-                                  !entry.second.taking;
+                                  !entry.second.pending_takeover;
                        });
 }
 
@@ -277,7 +286,7 @@
 
 bool budget_book::ready() const
 {
-    if (this->asks_peers())
+    if (this->is_large_fleet())
     {
         return this->knows_a_budget();
     }
@@ -292,25 +301,25 @@
 
 void budget_book::step(budget_id const& budget)
 {
-    if (!this->spending.ready())
+    if (!this->spend_writer.ready())
     {
-        return; // shares of the router before may still be taken over
+        return; // the previous router's shares may still be taken over
     }
     auto& of = this->accounts.at(budget);
-    if (of.taking)
+    if (of.pending_takeover)
     {
         return;
     }
     auto const at = this->now.now();
     auto const early =
-        at < of.draws_from || (this->routers <= 1 && !this->knows_fleet(at));
-    // The row is read at once: without it this router is not ready.
+        at < of.first_draw_at || (this->routers <= 1 && !this->knows_fleet(at));
+    // The first read is not delayed: this router is not ready without it.
     if (early && of.share.seen && of.share.waiting.empty() && !of.share.closing)
     {
         return;
     }
-    this->deal(of);
-    this->prepare_for_peers(of, at);
+    this->allocate(of);
+    this->update_draw_mode(of, at);
     auto next = budget::next_step(std::move(of.share), of.holder, at);
     of.share = std::move(next.state);
     switch (next.kind)
@@ -318,7 +327,7 @@
     case budget::step_kind::none:
         break;
     case budget::step_kind::look:
-        this->look(of);
+        this->read_rows(of);
         break;
     case budget::step_kind::write:
         this->write(of, next.txn);
@@ -328,18 +337,18 @@
 
 void budget_book::settle_waiting(account& of)
 {
-    this->set_limit(of);
+    this->update_spend_limit(of);
     auto answered =
         budget::answer_waiting(std::move(of.share), this->now.now());
     of.share = std::move(answered.state);
-    this->answer(answered.answers);
-    this->raise_line(of);
+    this->send_replies(answered.answers);
+    this->request_limit_raise(of);
 }
 
-void budget_book::answer(
-    std::vector<budget::answered_reservation> const& answers)
+void budget_book::send_replies(
+    std::vector<budget::answered_reservation> const& decided)
 {
-    for (auto const& one : answers)
+    for (auto const& one : decided)
     {
         auto const found = this->waiting.find(one.request);
         if (found == this->waiting.end())
@@ -357,17 +366,17 @@
     for (auto& [id, of] : this->accounts)
     {
         this->settle_waiting(of);
-        if (of.taking)
+        if (of.pending_takeover)
         {
-            this->try_take_over(of);
+            this->try_takeover(of);
         }
         this->step(id);
     }
-    if (this->asks_peers() && this->spending.ready() && !this->closing)
+    if (this->is_large_fleet() && this->spend_writer.ready() && !this->closing)
     {
         this->exchange.tick(this->now.now());
     }
-    call_after(this->timer, tick_time, [this] { this->tick(); });
+    call_after(this->timer, tick_interval, [this] { this->tick(); });
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/budget_book.hpp
+++ b/src/gateway/budget_book.hpp
@@ -24,16 +24,16 @@
 namespace caperpath::gateway
 {
 
-/// The shares that this router holds of the customers' budgets: carries out
-/// over the store what the share core asks for. The shares of a router that
-/// dies are taken over by its successor at the same address, as far as its
-/// spend row shows that they were not spent. Loop thread only; outlives its
+/// Manages this router's shares of the customers' budgets: executes over the
+/// store the steps that `budget::next_step` chooses. After a crash the next
+/// router at the same address takes over the shares, less what the dead
+/// router's spend row shows as possibly spent. Loop thread only; outlives its
 /// calls, and `log` outlives it.
 class budget_book
 {
 public:
-    /// `peer_address` is where other routers' datagrams come in, and `send`
-    /// sends one to another router.
+    /// `peer_address` receives the datagrams of other routers, and `send` sends
+    /// a datagram to another router.
     budget_book(
         boost::asio::any_io_executor const& executor, store::async_port port,
         std::string vm, std::string address, incarnation_id incarnation,
@@ -42,68 +42,72 @@
             send,
         decision_log& log);
 
-    /// Begins; call once the own address is bound.
+    /// Starts reading and writing rows. @pre the router's own address is bound.
     void start();
 
-    /// A configuration is in force: budgets are opened, and paid amounts are
-    /// raised (never lowered: what was paid before may be spent already).
+    /// Applies a configuration: opens accounts for its budgets and raises paid
+    /// amounts. An amount is never lowered, since it may be spent already.
     void apply(fleet::site const& site);
 
-    /// Sets `amount` tokens aside; `done` gets the reply, at once or within
+    /// Reserves `amount` tokens; `done` gets the reply, at once or within
     /// `wait`. @pre `request` was not used before.
     void reserve(request_id const& request, budget_id const& budget,
                  token_count amount, duration wait,
                  std::function<void(budget::reserve_reply)> done);
 
-    /// Ends a reservation that was admitted: `used` of it is spent.
+    /// Ends an admitted reservation: `used` of its tokens are spent.
     void finish(request_id const& request, budget_id const& budget,
                 token_count used);
 
-    /// Forgets a reservation that nothing was sent for.
+    /// Drops a reservation for which nothing was sent to a backend server.
     void cancel(request_id const& request, budget_id const& budget);
 
-    /// What decides on a budget's reservations now, for the log.
+    /// Returns log fields with the state that reservations of the budget depend
+    /// on.
     std::vector<log_field> describe(budget_id const& budget) const;
 
-    /// So many VMs have a live router.
+    /// Sets the number of VMs that have a live router.
     void note_routers(std::int64_t vms);
 
-    /// The live routers, by the address for datagrams.
+    /// Sets the live routers, by datagram address.
     void note_peers(std::map<std::string, incarnation_id> const& live);
 
-    /// A datagram of another router.
+    /// Handles a datagram of another router.
     void receive(std::string const& from, std::string const& bytes);
 
-    /// True when another router may give tokens of the budget, soon.
+    /// Returns true if another router may soon give tokens of the budget.
     bool may_be_given(budget_id const& budget);
 
-    /// Gives back what is free, now and as requests end; admits nothing more.
+    /// Returns free tokens to the budget rows, now and as requests end. Admits
+    /// no further reservation.
     void close();
 
-    /// True when everything was given back. @pre `close` was called.
+    /// Returns true if all tokens were returned. @pre `close` was called.
     bool closed() const;
 
-    /// True when the share covers `amount` behind all that waits, and the spend
-    /// line will have risen to it within `wait` without any word of the store.
+    /// Returns true if the share covers `amount` after all waiting
+    /// reservations, and the spend limit will allow it within `wait` without a
+    /// response of the store.
     bool opens_within(budget_id const& budget, token_count amount,
                       duration wait) const;
 
-    /// False until a budget's row was read: before that this router can only
-    /// refuse. True when no customer has a budget.
+    /// Returns false until a budget row was read: before that this router can
+    /// only reject requests. Returns true if no customer has a budget.
     bool knows_a_budget() const;
 
-    /// True when each budget's first share is here, or was tried for.
+    /// Returns true if the first share of each budget was drawn, or the draw
+    /// was tried several times.
     bool ready() const;
 
 private:
-    /// The share of the dead router before, on its way to this one. Nothing is
-    /// drawn of the budget meanwhile.
-    struct take_over
+    /// The share of the previous, dead router while it is taken over. This
+    /// router draws nothing of the budget in the meantime.
+    struct share_takeover
     {
         incarnation_id dead;
-        token_count spent{};    ///< at most, of what the dead router held
-        token_count received{}; ///< by it; free here when it is decided
-        token_count given{};    ///< of `spent`, to other routers
+        token_count spent{};    ///< upper bound for the dead router
+        token_count received{}; ///< free here after the takeover
+        token_count given{};    ///< part of `spent` that went to other routers
         instant next_try{};
         int tries{};
         bool busy{false};
@@ -113,71 +117,72 @@
         budget::share_state share;
         token_count paid{};
         budget::holder_view holder;
-        instant draws_from{}; ///< no draw before this without need
-        std::optional<take_over> taking;
-        double mean_request{};   ///< tokens that a request sets aside, of late
-        double mean_square{};    ///< of the same
-        budget::holdings others; ///< what the other routers told
-        std::uint64_t dealt_for{}; ///< version of the row of the latest deal
-        instant dealt_at{};
-        token_count pool_target{}; ///< to hold free, as the coordinator
-        instant draws_until{};     ///< no coordinator answers: draws by itself
-
-        /// The size of request that a token of the traffic belongs to in the
-        /// mean.
+        instant first_draw_at{}; ///< draws earlier only if a reservation waits
+        std::optional<share_takeover> pending_takeover;
+        double mean_request{};           ///< recent mean of reserved tokens
+        double mean_squared_request{};   ///< recent mean of the squares
+        budget::holdings other_holdings; ///< as the other routers reported them
+        std::uint64_t allocated_version{}; ///< of the budget row
+        instant allocated_at{};
+        token_count pool_target{};   ///< tokens to hold free as coordinator
+        instant draws_alone_until{}; ///< until then draws without a coordinator
+
+        /// The mean request size weighted by tokens: the size of the request
+        /// that an average token belongs to.
         double large_request() const;
 
-        /// The paid amount stands in the configuration and not in the row, so
-        /// that a top-up needs no write of ours.
+        /// Raises the paid amount of the last read row to the configured one: a
+        /// top-up is in the configuration, so that it needs no write of the
+        /// row.
         void raise_paid();
     };
-    using replies = std::function<void(budget::reserve_reply)>;
+    using reply_handler = std::function<void(budget::reserve_reply)>;
 
     account& open_account(budget_id const& budget);
-    std::map<budget_id, budget::spend_line> wanted_lines() const;
-    std::optional<store::row_write> holdings_to_tell();
+    std::map<budget_id, budget::spend_line> required_spend_limits() const;
+    std::optional<store::row_write> holdings_to_report();
     budget::holding own_holding(account const& of) const;
-    share_access share_for_peers();
+    share_access make_share_access();
     share_view view(budget_id const& budget) const;
     std::vector<budget_id> budgets(bool in_use) const;
-    void take(budget_id const& budget, token_count tokens, duration wait,
-              std::function<void(bool)> done);
-    void put(budget_id const& budget, token_count tokens);
-    void refuse_waiting(budget_id const& budget, duration retry_after);
-    void answer(std::vector<budget::answered_reservation> const& answers);
-    void prepare_for_peers(account& of, instant at);
-    bool asks_peers() const;
-    double line_start(account const& of, double traffic) const;
+    void take_for_peer(budget_id const& budget, token_count tokens,
+                       duration wait, std::function<void(bool)> done);
+    void add_from_peer(budget_id const& budget, token_count tokens);
+    void reject_waiting(budget_id const& budget, duration retry_after);
+    void send_replies(std::vector<budget::answered_reservation> const& decided);
+    void update_draw_mode(account& of, instant at);
+    bool is_large_fleet() const;
+    double initial_headroom(account const& of, double traffic) const;
     double typical_request(account const& of) const;
-    double rise_beyond_traffic(account const& of) const;
-    duration row_pause() const;
+    double extra_growth(account const& of) const;
+    duration spend_row_interval() const;
     void follow_rows();
-    void hear(store::feed_page const& page);
-    void forget_silent(instant at);
-    void see_budgets(store::feed_page const& page);
-    void deal(account& of);
+    void receive_holdings(store::feed_page const& page);
+    void expire_holdings(instant at);
+    void receive_budget_rows(store::feed_page const& page);
+    void allocate(account& of);
     std::int64_t fleet_size() const;
     bool knows_fleet(instant at) const;
-    bool deals() const;
-    duration budget_read_pause() const;
+    bool is_small_fleet() const;
+    duration budget_read_interval() const;
     void inherit(incarnation_id const& dead,
-                 std::map<budget_id, budget::spend_line> const& left);
-    void try_take_over(account& of);
+                 std::map<budget_id, budget::spend_line> const& limits);
+    void try_takeover(account& of);
     void rename_share(budget_id const& budget, store::row const& found);
-    void take_over_failed(budget_id const& budget);
-    void took_over(budget_id const& budget, store::row const& row,
-                   std::uint64_t version);
-    void took_nothing(account& of);
-    void own_inherited(account& of, token_count granted, std::uint64_t version);
-    void note_take_over(account const& of, token_count granted);
-    void set_limit(account& of) const;
+    void takeover_failed(budget_id const& budget);
+    void finish_takeover(budget_id const& budget, store::row const& row,
+                         std::uint64_t version);
+    void finish_without_share(account& of);
+    void adopt_tokens(account& of, token_count granted, std::uint64_t version);
+    void log_takeover(account const& of, token_count granted);
+    void update_spend_limit(account& of) const;
     budget::held_tokens held(account const& of) const;
-    void pass_on();
-    void raise_line(account const& of);
+    void settle_all_waiting();
+    void request_limit_raise(account const& of);
     void step(budget_id const& budget);
-    void look(account& of);
+    void read_rows(account& of);
     void write(account& of, store::transaction const& txn);
-    void note_write(account const& of, store::commit_result const& result);
+    void log_write(account const& of, store::commit_result const& result);
     void settle_waiting(account& of);
     void tick();
 
@@ -187,21 +192,21 @@
     vm_id vm;
     incarnation_id incarnation;
     decision_log& log;
-    spend_keeper spending;
+    spend_keeper spend_writer;
     caperpath::clock now{caperpath::clock::monotonic()};
     token_exchange exchange;
     std::uint64_t
-        transfer_reservations{}; ///< numbers reservations for other routers
-    double mean_of_all{}; ///< tokens that a request of any customer needs
+        transfer_reservations{};  ///< numbers reservations for other routers
+    double mean_request_of_all{}; ///< over the requests of all customers
     std::map<budget_id, account> accounts;
-    std::unordered_map<request_id, replies> waiting;
+    std::unordered_map<request_id, reply_handler> waiting;
     std::unique_ptr<table_follower> holding_rows;
     std::unique_ptr<table_follower> budget_rows;
-    std::int64_t routers{1};           ///< VMs by the heartbeats
-    std::map<vm_id, instant> heard_of; ///< VMs that told of their shares
-    instant began{};
-    instant followed_from{}; ///< every change of a budget row since is known
-    instant told_at{};       ///< the latest own row of holdings
+    std::int64_t routers{1};                       ///< VMs with a heartbeat
+    std::map<vm_id, instant> holdings_received_at; ///< by reporting VM
+    instant started_at{};
+    instant rows_current_since{};  ///< no budget row change missed since
+    instant holdings_written_at{}; ///< last write of the own holdings row
     bool closing{false};
     instant closing_since{};
 };
--- a/src/gateway/budget_book_store.cpp
+++ b/src/gateway/budget_book_store.cpp
@@ -5,17 +5,17 @@
 #include <cmath>
 #include <utility>
 
-/// What a budget book reads from the store and writes there.
+/// Store reads and writes for this router's budget shares.
 namespace caperpath::gateway
 {
 
-/// The budget row is read; the own share row has no other writer and is read
-/// too only when the answer to a write of it was lost.
-void budget_book::look(account& of)
+/// Reads the budget row. The share row has no other writer, so it is read as
+/// well only if the response to a write of it was lost.
+void budget_book::read_rows(account& of)
 {
     auto const id = of.share.budget;
     auto const share_name = budget::share_key(id, of.holder.incarnation);
-    auto const finish_look =
+    auto const finish_read =
         [this, id](std::variant<store::row, error> const& budget_reply,
                    store::row const& share)
     {
@@ -44,28 +44,29 @@
     {
         store::row const known{share_name, of.share.share_version,
                                budget::encode(of.share.share)};
-        this->port.read(budget_name, [finish_look, known](auto const& reply)
-                        { finish_look(reply, known); });
+        this->port.read(budget_name, [finish_read, known](auto const& reply)
+                        { finish_read(reply, known); });
         return;
     }
     this->port.read(share_name,
-                    [this, finish_look, budget_name](auto const& share_reply)
+                    [this, finish_read, budget_name](auto const& share_reply)
                     {
                         if (std::holds_alternative<error>(share_reply))
                         {
-                            finish_look(share_reply, {});
+                            finish_read(share_reply, {});
                             return;
                         }
                         auto const share = std::get<store::row>(share_reply);
                         this->port.read(budget_name,
-                                        [finish_look, share](auto const& reply)
-                                        { finish_look(reply, share); });
+                                        [finish_read, share](auto const& reply)
+                                        { finish_read(reply, share); });
                     });
 }
 
 void budget_book::write(account& of, store::transaction const& txn)
 {
-    // Nobody takes shares back here, so there is no holder row to check.
+    // No other process reclaims shares here, so there is no holder row to
+    // check.
     auto own = txn;
     std::erase_if(
         own.conditions, [&of](store::condition const& one)
@@ -75,7 +76,7 @@
                       [this, id](store::commit_result const& result)
                       {
                           auto& account = this->accounts.at(id);
-                          this->note_write(account, result);
+                          this->log_write(account, result);
                           account.share = budget::wrote(
                               std::move(account.share), account.holder, result,
                               this->now.now());
@@ -85,8 +86,8 @@
                       });
 }
 
-void budget_book::note_write(account const& of,
-                             store::commit_result const& result)
+void budget_book::log_write(account const& of,
+                            store::commit_result const& result)
 {
     auto const& share = of.share;
     auto const to = share.planned && share.planned->share
--- a/src/gateway/budget_deal.cpp
+++ b/src/gateway/budget_deal.cpp
@@ -8,38 +8,43 @@
 #include <algorithm>
 #include <utility>
 
-/// How a budget book learns what the other routers hold, and which part of a
-/// budget is its own to hold.
+/// Collects the holdings of the other routers and computes which part of a
+/// budget this router should hold.
 namespace caperpath::gateway
 {
 
 namespace
 {
 
-/// Longer than the store is usually away.
-constexpr duration ahead{10'000};
-/// A router that comes back hears the others within a second.
-constexpr duration first_deal_after{1'000};
+/// Planning horizon of a router's need for tokens, longer than a usual outage
+/// of the store.
+constexpr duration need_horizon{10'000};
+/// A restarted router receives the holdings of the others within this time.
+constexpr duration first_allocation_after{1'000};
 /// Routers that start together see each other's heartbeats at their second
-/// read. Before that the first ones would take a few routers for all, draw
-/// large parts, and leave little to those with traffic.
-constexpr duration all_known_after = fleet::heartbeat_interval + duration{500};
+/// read. A router that allocates before that would see only part of the fleet,
+/// draw a large share, and leave little to routers with traffic.
+constexpr duration fleet_known_after =
+    fleet::heartbeat_interval + duration{500};
 
-/// Changes of budget rows come with a wish for tokens, that a caller waits for.
-/// In a fleet that deals it is read, returned for and drawn within the wait of
-/// a reservation.
-constexpr duration budget_read_per_router{8};
-constexpr duration least_budget_read{20};
-/// In a fleet that does not deal, a follower only waits for it to shrink.
-constexpr duration idle_read_pause{10'000};
-/// A wish that stays in the row so long was not answered by the one holder that
-/// had most: two of them answer then, four after as long again.
-constexpr std::int64_t wish_answered_ms = 120;
+/// A change of a budget row may carry a token request that a caller waits for.
+/// In a small fleet the other routers have to read it and return tokens, and
+/// this one to draw them, within the wait of a reservation.
+constexpr duration budget_read_interval_per_router{8};
+constexpr duration least_budget_read_interval{20};
+/// In a large fleet the follower only detects that the fleet has shrunk.
+constexpr duration idle_read_interval{10'000};
+/// If requested tokens stay in the row this long, the holder with the most free
+/// tokens did not return them. The number of holders that return tokens doubles
+/// with each such interval.
+constexpr std::int64_t request_doubling_ms = 120;
 constexpr std::int64_t most_doublings = 10;
-/// A deal counts so long while its budget row does not change: reckoned at each
-/// step, its cost would grow with steps, budgets and routers.
-constexpr duration deal_lifetime{120};
-/// Changes of the rows are followed, and a write on an old row is refused.
+/// An allocation is reused for this long while its budget row does not change.
+/// Computing it at each step would cost in proportion to steps, budgets and
+/// routers.
+constexpr duration allocation_lifetime{120};
+/// A row counts as fresh for this long: changes are followed, and the store
+/// rejects a write based on an old row.
 constexpr duration followed_row_fresh{1'000};
 
 } // namespace
@@ -49,39 +54,42 @@
     this->routers = vms;
 }
 
-/// The heartbeats of routers that started together are read after some seconds,
-/// what they tell of their shares sooner.
+/// Returns the larger count of live routers by heartbeats and by holdings.
+/// Heartbeats of routers that start together are read only after some seconds,
+/// their holdings sooner.
 std::int64_t budget_book::fleet_size() const
 {
     auto const at = this->now.now();
-    auto const heard =
-        std::count_if(this->heard_of.begin(), this->heard_of.end(),
-                      [at](auto const& entry)
-                      { return at - entry.second <= fleet::member_lifetime; });
-    return std::max(this->routers, heard + 1);
+    auto const reporting = std::count_if(
+        this->holdings_received_at.begin(), this->holdings_received_at.end(),
+        [at](auto const& entry)
+        { return at - entry.second <= fleet::member_lifetime; });
+    return std::max(this->routers, reporting + 1);
 }
 
 bool budget_book::knows_fleet(instant at) const
 {
-    auto const since = at - this->began;
-    auto const heard = std::ssize(this->heard_of);
-    return since >= all_known_after ||
-           (since >= first_deal_after &&
-            this->routers > std::max<std::int64_t>(1, heard));
+    auto const since = at - this->started_at;
+    auto const reporting = std::ssize(this->holdings_received_at);
+    return since >= fleet_known_after ||
+           (since >= first_allocation_after &&
+            this->routers > std::max<std::int64_t>(1, reporting));
 }
 
-bool budget_book::deals() const
+bool budget_book::is_small_fleet() const
 {
     return this->fleet_size() <= budget::most_dealing_routers;
 }
 
-/// All routers read what all of them write: with a pause that grows with their
-/// number, the calls of all together grow as it does and not as its square.
-duration budget_book::budget_read_pause() const
+/// Returns the interval between reads of budget rows. All routers read what all
+/// of them write: with an interval proportional to their number, the total
+/// number of calls grows linearly and not quadratically.
+duration budget_book::budget_read_interval() const
 {
-    return this->deals() ? std::max(least_budget_read,
-                                    budget_read_per_router * this->fleet_size())
-                         : idle_read_pause;
+    return this->is_small_fleet()
+               ? std::max(least_budget_read_interval,
+                          budget_read_interval_per_router * this->fleet_size())
+               : idle_read_interval;
 }
 
 void budget_book::follow_rows()
@@ -91,14 +99,15 @@
     };
     holdings.changed = [this](store::feed_page const& page)
     {
-        this->hear(page);
+        this->receive_holdings(page);
     };
     holdings.reached = [](bool, error const&) {
     };
     holdings.pause = [this]
     {
-        return this->deals() ? budget::holdings_read_pause(this->fleet_size())
-                             : idle_read_pause;
+        return this->is_small_fleet()
+                   ? budget::holdings_read_pause(this->fleet_size())
+                   : idle_read_interval;
     };
     auto const salt = fleet::stable_hash(this->vm.value);
     this->holding_rows = std::make_unique<table_follower>(
@@ -109,18 +118,19 @@
     table_listener budgets;
     budgets.listed = [this](store::feed_page const&)
     {
-        // Rows may have changed unseen: each is read before it counts again.
-        this->followed_from = this->now.now();
+        // Changes may have been missed: each row is read before it counts as
+        // current again.
+        this->rows_current_since = this->now.now();
     };
     budgets.changed = [this](store::feed_page const& page)
     {
-        this->see_budgets(page);
+        this->receive_budget_rows(page);
     };
     budgets.reached = [](bool, error const&) {
     };
     budgets.pause = [this]
     {
-        return this->budget_read_pause();
+        return this->budget_read_interval();
     };
     this->budget_rows = std::make_unique<table_follower>(
         this->executor, this->port, store::own_table("budget"),
@@ -128,26 +138,27 @@
     this->budget_rows->start();
 }
 
-/// VMs are replaced for as long as this process runs.
-void budget_book::forget_silent(instant at)
+/// Erases the holdings of VMs that no longer report. VMs are replaced as long
+/// as this process runs, so the maps would otherwise grow without bound.
+void budget_book::expire_holdings(instant at)
 {
-    auto const is_old = [at](instant heard)
+    auto const is_old = [at](instant received)
     {
-        return at - heard > fleet::row_lifetime;
+        return at - received > fleet::row_lifetime;
     };
-    std::erase_if(this->heard_of,
+    std::erase_if(this->holdings_received_at,
                   [&](auto const& entry) { return is_old(entry.second); });
     for (auto& [id, of] : this->accounts)
     {
-        std::erase_if(of.others, [&](auto const& entry)
+        std::erase_if(of.other_holdings, [&](auto const& entry)
                       { return is_old(entry.second.at); });
     }
 }
 
-void budget_book::hear(store::feed_page const& page)
+void budget_book::receive_holdings(store::feed_page const& page)
 {
     auto const at = this->now.now();
-    this->forget_silent(at);
+    this->expire_holdings(at);
     for (auto const& row : page.rows)
     {
         auto const from = budget::vm_of_holding_key(row.key);
@@ -162,20 +173,20 @@
             this->log.fault(*fault);
             continue;
         }
-        this->heard_of[*from] = at;
-        for (auto const& [id, told] :
+        this->holdings_received_at[*from] = at;
+        for (auto const& [id, reported] :
              std::get<std::map<budget_id, budget::holding>>(read))
         {
             auto const found = this->accounts.find(id);
             if (found != this->accounts.end())
             {
-                found->second.others[*from] = {told, at};
+                found->second.other_holdings[*from] = {reported, at};
             }
         }
     }
 }
 
-void budget_book::see_budgets(store::feed_page const& page)
+void budget_book::receive_budget_rows(store::feed_page const& page)
 {
     auto const at = this->now.now();
     for (auto const& row : page.rows)
@@ -192,7 +203,7 @@
     }
     for (auto& [id, of] : this->accounts)
     {
-        if (of.share.seen && of.share.seen->at >= this->followed_from)
+        if (of.share.seen && of.share.seen->at >= this->rows_current_since)
         {
             of.share = budget::unchanged(std::move(of.share), at);
         }
@@ -206,45 +217,49 @@
 
 double budget_book::account::large_request() const
 {
-    return this->mean_request > 0 ? this->mean_square / this->mean_request : 0;
+    return this->mean_request > 0
+               ? this->mean_squared_request / this->mean_request
+               : 0;
 }
 
 budget::holding budget_book::own_holding(account const& of) const
 {
     auto const& share = of.share;
     budget::holding one;
-    if (of.taking)
+    if (of.pending_takeover)
     {
-        one.granted = of.taking->spent;
-        one.spent = of.taking->spent;
+        one.granted = of.pending_takeover->spent;
+        one.spent = of.pending_takeover->spent;
         return one;
     }
     one.granted = share.share.granted + share.received - share.given;
-    // On its way back to the budget row, it would be counted twice.
+    // While closing, the tokens return to the budget row; reporting them here
+    // would count them twice.
     one.spent =
         share.closing ? 0 : share.settled + share.unsettled - share.given;
     one.open = share.reserved;
     auto const has_traffic = share.rate.samples > 0 || share.rate.gathered > 0;
     if (has_traffic || !share.waiting.empty())
     {
-        one.need =
-            budget::need_ahead(std::max(0.0, share.rate.per_second), ahead,
-                               static_cast<token_count>(of.large_request())) +
-            budget::waiting_tokens(share);
+        one.need = budget::need_ahead(
+                       std::max(0.0, share.rate.per_second), need_horizon,
+                       static_cast<token_count>(of.large_request())) +
+                   budget::waiting_tokens(share);
     }
     return one;
 }
 
-std::optional<store::row_write> budget_book::holdings_to_tell()
+std::optional<store::row_write> budget_book::holdings_to_report()
 {
     auto const at = this->now.now();
-    auto const told =
-        at - this->told_at < budget::holdings_read_pause(this->fleet_size());
-    if (told || !this->deals())
+    auto const recently_written =
+        at - this->holdings_written_at <
+        budget::holdings_read_pause(this->fleet_size());
+    if (recently_written || !this->is_small_fleet())
     {
         return std::nullopt;
     }
-    this->told_at = at;
+    this->holdings_written_at = at;
     std::map<budget_id, budget::holding> all;
     for (auto const& [id, of] : this->accounts)
     {
@@ -253,43 +268,45 @@
     return store::row_write{budget::holding_key(this->vm), budget::encode(all)};
 }
 
-void budget_book::deal(account& of)
+void budget_book::allocate(account& of)
 {
     auto& share = of.share;
     auto const at = this->now.now();
-    if (!this->asks_peers() && (!share.seen || !this->knows_fleet(at)))
+    if (!this->is_large_fleet() && (!share.seen || !this->knows_fleet(at)))
     {
         return;
     }
-    if (!this->deals())
+    if (!this->is_small_fleet())
     {
-        // A coordinator draws what it spreads.
-        share.dealt = this->asks_peers()
+        // In a large fleet the coordinator draws the tokens that it
+        // distributes.
+        share.dealt = this->is_large_fleet()
                           ? std::optional{budget::deal{of.pool_target, 0, 0}}
                           : std::nullopt;
         share.must_return = false;
         share.sizes.fresh = share_sizes().fresh;
         return;
     }
-    if (share.dealt && of.dealt_for == share.seen->version &&
-        at - of.dealt_at < deal_lifetime)
+    if (share.dealt && of.allocated_version == share.seen->version &&
+        at - of.allocated_at < allocation_lifetime)
     {
         return;
     }
     share.sizes.fresh = followed_row_fresh;
-    of.dealt_for = share.seen->version;
-    of.dealt_at = at;
-    share.dealt = budget::deal_for(of.others, this->vm, this->own_holding(of),
-                                   share.seen->row, this->fleet_size(), at);
+    of.allocated_version = share.seen->version;
+    of.allocated_at = at;
+    share.dealt =
+        budget::deal_for(of.other_holdings, this->vm, this->own_holding(of),
+                         share.seen->row, this->fleet_size(), at);
     auto const free = budget::free_tokens(share);
     auto const wanted = share.seen->row.wanted;
-    auto const waited = (at - share.seen->wish_since).ms / wish_answered_ms;
+    auto const waited = (at - share.seen->wish_since).ms / request_doubling_ms;
     share.must_return =
         wanted > 0
-            ? budget::must_return(of.others, this->vm, free,
+            ? budget::must_return(of.other_holdings, this->vm, free,
                                   wanted << std::min(waited, most_doublings),
                                   this->fleet_size(), at)
-            : budget::must_return(of.others, this->vm, free,
+            : budget::must_return(of.other_holdings, this->vm, free,
                                   share.dealt->others_lack, this->routers, at);
 }
 
--- a/src/gateway/budget_lines.cpp
+++ b/src/gateway/budget_lines.cpp
@@ -2,116 +2,127 @@
 
 #include <algorithm>
 
-/// How far a budget book may spend ahead of its spend row.
+/// The spend limits that this router requests: how much it may spend before its
+/// next spend row.
 namespace caperpath::gateway
 {
 
 namespace
 {
 
-/// A spend line begins the traffic of the time between two rows, and half a
-/// request, above the use; a larger request waits for a row of its own. What
-/// lies between the use and the line is lost when the router dies.
-constexpr double line_start_seconds = 0.3;
-constexpr double line_start_requests = 0.5;
-/// What a dead router strands grows with the age of its row; in a large fleet
-/// each router strands little of any budget, and rows are most of its calls.
-constexpr duration row_pause_of_few{300};
-constexpr duration large_fleet_row_pause{600};
-/// Arrivals are uneven, and a router gets more of them when others die. With
-/// each second the line rises by this much of the traffic, and by one large
-/// request for those who send few. What it rises until a successor has the
-/// address is lost, at all routers when all of them crash.
-constexpr double line_rise = 1.25;
-constexpr double open_seconds = 4;
-constexpr double requests_risen = 0.5;
-/// With so many requests of late the next one is likely to come soon.
-constexpr double usual_requests = 2;
-/// In a large fleet: the part of what is free that is open at once at most.
-constexpr double open_part = 0.5;
+/// A spend limit starts above the used tokens by the traffic of the interval
+/// between two rows and by half a request; a larger request waits for a row of
+/// its own. Tokens between the use and the limit are lost if the router dies.
+constexpr double initial_headroom_seconds = 0.3;
+constexpr double initial_headroom_requests = 0.5;
+/// The loss at a crash grows with the age of the row. In a large fleet each
+/// router loses little of any budget, and these rows are most of its store
+/// calls, so the interval is longer.
+constexpr duration small_fleet_row_interval{300};
+constexpr duration large_fleet_row_interval{600};
+/// Arrivals are uneven, and a router gets more of them when others die. Each
+/// second the limit grows by this multiple of the traffic, and by one large
+/// request for customers that send few. The growth until a successor has the
+/// address is lost, at all routers if all of them crash.
+constexpr double traffic_growth_factor = 1.25;
+constexpr double free_spread_seconds = 4;
+constexpr double extra_growth_requests = 0.5;
+/// From this many recent requests on, the next one is likely to come soon.
+constexpr double frequent_requests = 2;
+/// In a large fleet, the initial headroom is at most this part of the free
+/// tokens.
+constexpr double most_open_part = 0.5;
 
 } // namespace
 
-/// What the traffic will use of the share while the store is away, and all that
-/// waits.
-std::map<budget_id, budget::spend_line> budget_book::wanted_lines() const
+/// Returns a spend limit for each budget that covers all waiting reservations
+/// and the expected traffic while the store is away.
+std::map<budget_id, budget::spend_line>
+budget_book::required_spend_limits() const
 {
     std::map<budget_id, budget::spend_line> all;
     for (auto const& [id, of] : this->accounts)
     {
         auto const& share = of.share;
         auto const traffic = std::max(0.0, share.rate.per_second);
-        auto const start = this->line_start(of, traffic);
-        budget::spend_line line;
-        line.received = share.received;
-        line.given = share.given;
-        line.has_share = of.taking || share.share_version > 0 ||
-                         share.planned || share.floor;
-        if (of.taking)
+        auto const start = this->initial_headroom(of, traffic);
+        budget::spend_line limit;
+        limit.received = share.received;
+        limit.given = share.given;
+        limit.has_share = of.pending_takeover || share.share_version > 0 ||
+                          share.planned || share.floor;
+        if (of.pending_takeover)
         {
-            // Renamed at any moment, its share row is read with this line.
-            line.spent = of.taking->spent + budget::used_tokens(share);
-            line.received += of.taking->received;
-            line.given += of.taking->given;
-            all[id] = line;
+            // The share row may be renamed at any moment, and a successor reads
+            // it with this limit.
+            limit.spent =
+                of.pending_takeover->spent + budget::used_tokens(share);
+            limit.received += of.pending_takeover->received;
+            limit.given += of.pending_takeover->given;
+            all[id] = limit;
             continue;
         }
-        if (!line.has_share && share.received == 0)
+        if (!limit.has_share && share.received == 0)
         {
             continue;
         }
-        line.spent = budget::used_tokens(share) +
-                     budget::waiting_tokens(share) +
-                     static_cast<token_count>(start);
-        line.per_second = static_cast<token_count>(
-            traffic * line_rise + this->rise_beyond_traffic(of));
+        limit.spent = budget::used_tokens(share) +
+                      budget::waiting_tokens(share) +
+                      static_cast<token_count>(start);
+        limit.per_second = static_cast<token_count>(
+            traffic * traffic_growth_factor + this->extra_growth(of));
         if (this->closing)
         {
-            line.per_second = 0;
+            limit.per_second = 0;
         }
-        all[id] = line;
+        all[id] = limit;
     }
     return all;
 }
 
-/// How far a line begins above the use.
-double budget_book::line_start(account const& of, double traffic) const
+/// Returns the tokens between the current use and the start of the limit.
+double budget_book::initial_headroom(account const& of, double traffic) const
 {
     if (this->closing)
     {
         return 0;
     }
-    if (!this->asks_peers())
+    if (!this->is_large_fleet())
     {
-        return traffic * line_start_seconds +
-               of.mean_request * line_start_requests;
+        return traffic * initial_headroom_seconds +
+               of.mean_request * initial_headroom_requests;
     }
-    // In a large fleet most routers rarely get a request of a customer: were
-    // each line to cover one, a crash of all would strand most of a budget.
+    // In a large fleet most routers rarely get a request of a given customer:
+    // if each limit covered one request, a crash of all routers would lose most
+    // of a budget.
     auto const free = static_cast<double>(budget::free_tokens(of.share));
-    auto const here = this->exchange.requests(of.share.budget, this->now.now());
-    auto const open = line_start_requests * this->typical_request(of) *
-                      std::min(1.0, here / usual_requests);
-    return std::min(traffic * line_start_seconds + open, free * open_part);
+    auto const here =
+        this->exchange.recent_requests(of.share.budget, this->now.now());
+    auto const open = initial_headroom_requests * this->typical_request(of) *
+                      std::min(1.0, here / frequent_requests);
+    return std::min(traffic * initial_headroom_seconds + open,
+                    free * most_open_part);
 }
 
-/// In a large fleet a router that is cut off gets a request of most customers
-/// once in many seconds. What all lines have risen when all routers crash in an
-/// outage of the store is lost.
-double budget_book::rise_beyond_traffic(account const& of) const
+/// Returns the growth of the limit per second on top of the traffic. In a large
+/// fleet a router that is cut off gets a request of most customers only once in
+/// many seconds. If all routers crash during an outage of the store, the growth
+/// of all their limits is lost.
+double budget_book::extra_growth(account const& of) const
 {
-    if (!this->asks_peers())
+    if (!this->is_large_fleet())
     {
         return of.large_request();
     }
     auto const free = static_cast<double>(budget::free_tokens(of.share));
-    return std::min(free / open_seconds,
-                    this->typical_request(of) * requests_risen);
+    return std::min(free / free_spread_seconds,
+                    this->typical_request(of) * extra_growth_requests);
 }
 
-duration budget_book::row_pause() const
+duration budget_book::spend_row_interval() const
 {
-    return this->asks_peers() ? large_fleet_row_pause : row_pause_of_few;
+    return this->is_large_fleet() ? large_fleet_row_interval
+                                  : small_fleet_row_interval;
 }
 
 budget::held_tokens budget_book::held(account const& of) const
@@ -119,15 +130,15 @@
     return {of.share.share.granted, of.share.received};
 }
 
-void budget_book::set_limit(account& of) const
+void budget_book::update_spend_limit(account& of) const
 {
-    of.share.spend_limit =
-        this->spending.limit(of.share.budget, this->held(of), this->now.now());
+    of.share.spend_limit = this->spend_writer.limit(
+        of.share.budget, this->held(of), this->now.now());
 }
 
-/// A reservation that the share covers and only its line holds back does not
-/// wait for the next regular write.
-void budget_book::raise_line(account const& of)
+/// Writes a spend row at once if the share covers a waiting reservation and
+/// only the spend limit holds it back.
+void budget_book::request_limit_raise(account const& of)
 {
     auto const& share = of.share;
     auto const covered = [&share](budget::waiting_reservation const& one)
@@ -136,7 +147,7 @@
     };
     if (std::any_of(share.waiting.begin(), share.waiting.end(), covered))
     {
-        this->spending.hurry();
+        this->spend_writer.write_soon();
     }
 }
 
@@ -151,8 +162,8 @@
     auto const& share = found->second.share;
     auto const needed =
         budget::used_tokens(share) + budget::waiting_tokens(share) + amount;
-    return this->spending.limit(budget, this->held(found->second),
-                                this->now.now() + wait) >= needed;
+    return this->spend_writer.limit(budget, this->held(found->second),
+                                    this->now.now() + wait) >= needed;
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/budget_peers.cpp
+++ b/src/gateway/budget_peers.cpp
@@ -4,7 +4,8 @@
 #include <string>
 #include <utility>
 
-/// How a budget book and its token exchange share the tokens of a large fleet.
+/// Connects the budget shares to the token exchange, which moves tokens between
+/// the routers of a large fleet.
 namespace caperpath::gateway
 {
 
@@ -12,25 +13,26 @@
 {
 
 constexpr auto policy = config::budget_policy::false_refusals_first;
-/// Until then a coordinator will answer again, or another one does.
+/// A coordinator responds again within this time, or another one replaces it.
 constexpr duration draws_alone_for{1'000};
 
 } // namespace
 
-/// In small fleets all of a budget is dealt out by what each router tells.
-bool budget_book::asks_peers() const
+/// Returns true if routers exchange tokens by datagrams. In a small fleet each
+/// budget is allocated by the holdings that the routers report.
+bool budget_book::is_large_fleet() const
 {
-    return !this->deals();
+    return !this->is_small_fleet();
 }
 
 void budget_book::note_peers(std::map<std::string, incarnation_id> const& live)
 {
-    this->exchange.note_routers(live, this->now.now());
+    this->exchange.set_peers(live, this->now.now());
 }
 
 void budget_book::receive(std::string const& from, std::string const& bytes)
 {
-    if (this->spending.ready())
+    if (this->spend_writer.ready())
     {
         this->exchange.receive(from, bytes, this->now.now());
     }
@@ -38,11 +40,11 @@
 
 bool budget_book::may_be_given(budget_id const& budget)
 {
-    return this->asks_peers() &&
-           this->exchange.may_be_answered(budget, this->now.now());
+    return this->is_large_fleet() &&
+           this->exchange.may_get_response(budget, this->now.now());
 }
 
-share_access budget_book::share_for_peers()
+share_access budget_book::make_share_access()
 {
     share_access access;
     access.view = [this](budget_id const& budget)
@@ -60,23 +62,23 @@
     access.take = [this](budget_id const& budget, token_count tokens,
                          duration wait, std::function<void(bool)> done)
     {
-        this->take(budget, tokens, wait, std::move(done));
+        this->take_for_peer(budget, tokens, wait, std::move(done));
     };
     access.put = [this](budget_id const& budget, token_count tokens)
     {
-        this->put(budget, tokens);
+        this->add_from_peer(budget, tokens);
     };
-    access.refuse = [this](budget_id const& budget, duration retry_after)
+    access.reject = [this](budget_id const& budget, duration retry_after)
     {
-        this->refuse_waiting(budget, retry_after);
+        this->reject_waiting(budget, retry_after);
     };
-    access.hold = [this](budget_id const& budget, token_count target)
+    access.set_pool_target = [this](budget_id const& budget, token_count target)
     {
         this->accounts.at(budget).pool_target = target;
     };
     access.draw_alone = [this](budget_id const& budget)
     {
-        this->accounts.at(budget).draws_until =
+        this->accounts.at(budget).draws_alone_until =
             this->now.now() + draws_alone_for;
     };
     return access;
@@ -86,7 +88,7 @@
 {
     share_view found;
     auto const of = this->accounts.find(budget);
-    if (of == this->accounts.end() || of->second.taking)
+    if (of == this->accounts.end() || of->second.pending_takeover)
     {
         return found;
     }
@@ -113,11 +115,13 @@
     return found;
 }
 
-/// In a large fleet a router sees few requests of a customer, and their sizes
-/// differ more than those of customers do.
+/// In a large fleet a router sees few requests of a given customer, and request
+/// sizes differ more within a customer than between customers. So it uses the
+/// mean over all customers.
 double budget_book::typical_request(account const& of) const
 {
-    return this->mean_of_all > 0 ? this->mean_of_all : of.mean_request;
+    return this->mean_request_of_all > 0 ? this->mean_request_of_all
+                                         : of.mean_request;
 }
 
 std::vector<budget_id> budget_book::budgets(bool in_use) const
@@ -134,12 +138,13 @@
     return all;
 }
 
-/// As a reservation of a caller, it waits for a draw and for the spend line.
-void budget_book::take(budget_id const& budget, token_count tokens,
-                       duration wait, std::function<void(bool)> done)
+/// Reserves tokens for another router. Like a caller's reservation, it waits
+/// for a draw and for the spend limit.
+void budget_book::take_for_peer(budget_id const& budget, token_count tokens,
+                                duration wait, std::function<void(bool)> done)
 {
     auto const found = this->accounts.find(budget);
-    if (found == this->accounts.end() || found->second.taking)
+    if (found == this->accounts.end() || found->second.pending_takeover)
     {
         done(false);
         return;
@@ -159,7 +164,7 @@
         }
         done(taken);
     };
-    this->set_limit(of);
+    this->update_spend_limit(of);
     auto outcome = budget::reserve(std::move(of.share),
                                    {id, budget, policy, tokens, wait, true},
                                    this->now.now());
@@ -170,30 +175,30 @@
         return;
     }
     this->waiting.emplace(id, decided);
-    this->raise_line(of);
+    this->request_limit_raise(of);
     this->step(budget);
 }
 
-void budget_book::put(budget_id const& budget, token_count tokens)
+void budget_book::add_from_peer(budget_id const& budget, token_count tokens)
 {
     auto& of = this->open_account(budget);
     of.share = budget::received(std::move(of.share), tokens);
     this->settle_waiting(of);
 }
 
-void budget_book::refuse_waiting(budget_id const& budget, duration retry_after)
+void budget_book::reject_waiting(budget_id const& budget, duration retry_after)
 {
     auto& of = this->accounts.at(budget);
     auto step = budget::refuse_uncovered(std::move(of.share), retry_after,
                                          this->now.now());
     of.share = std::move(step.state);
-    this->answer(step.answers);
+    this->send_replies(step.answers);
 }
 
-void budget_book::prepare_for_peers(account& of, instant at)
+void budget_book::update_draw_mode(account& of, instant at)
 {
     auto& share = of.share;
-    share.has_peers = this->asks_peers();
+    share.has_peers = this->is_large_fleet();
     if (!share.has_peers)
     {
         share.draws = true;
@@ -202,7 +207,7 @@
     auto const gives =
         std::any_of(share.waiting.begin(), share.waiting.end(),
                     [](auto const& one) { return one.is_transfer; });
-    share.draws = gives || at < of.draws_until ||
+    share.draws = gives || at < of.draws_alone_until ||
                   this->exchange.is_coordinator(share.budget);
 }
 
--- a/src/gateway/peer_link.cpp
+++ b/src/gateway/peer_link.cpp
@@ -16,10 +16,10 @@
 
 using boost::asio::ip::udp;
 
-constexpr duration told_every{1'000};
+constexpr duration log_interval{1'000};
 constexpr int highest_port = 65'535;
 
-/// Nothing for text that is no address and port.
+/// Returns no endpoint if `text` is not an IP address and port.
 std::optional<udp::endpoint> endpoint_of(std::string const& text)
 {
     auto const colon = text.rfind(':');
@@ -51,9 +51,9 @@
 {
 }
 
-bool peer_link::start(receiver into)
+bool peer_link::start(receiver on_datagram)
 {
-    this->take = std::move(into);
+    this->handler = std::move(on_datagram);
     boost::system::error_code fault;
     this->socket.open(this->local.protocol(), fault);
     if (!fault)
@@ -85,20 +85,21 @@
     this->socket.send_to(boost::asio::buffer(bytes), *endpoint, 0, fault);
     if (fault)
     {
-        this->note_unsent(to, fault.message());
+        this->log_unsent(to, fault.message());
     }
 }
 
-/// A full socket or a lost route fails hundreds of sends a second.
-void peer_link::note_unsent(std::string const& to, std::string const& why)
+/// Logs failed sends at most once per interval: a full socket or a lost route
+/// fails hundreds of sends a second.
+void peer_link::log_unsent(std::string const& to, std::string const& why)
 {
     this->unsent += 1;
     auto const at = this->now.now();
-    if (at - this->told_at < told_every)
+    if (at - this->logged_at < log_interval)
     {
         return;
     }
-    this->told_at = at;
+    this->logged_at = at;
     this->log.fault(
         {error_kind::unavailable, "send to router", to,
          why + ", datagrams lost so far: " + std::to_string(this->unsent)});
@@ -119,11 +120,11 @@
             {
                 return;
             }
-            // A port that nobody listens to gives an error to the next receive.
+            // After a send to a closed port, the next receive reports an error.
             if (!fault)
             {
-                this->take(text_of(this->sender),
-                           std::string{this->buffer.data(), size});
+                this->handler(text_of(this->sender),
+                              std::string{this->buffer.data(), size});
             }
             this->receive();
         });
--- a/src/gateway/peer_link.hpp
+++ b/src/gateway/peer_link.hpp
@@ -17,9 +17,9 @@
 namespace caperpath::gateway
 {
 
-/// Datagrams from and to the other routers. They may be lost, late, doubled or
-/// overtake each other. Loop thread only; outlives its calls, and `log`
-/// outlives it.
+/// Sends and receives datagrams between routers. Datagrams may be lost,
+/// delayed, duplicated or reordered. Loop thread only; outlives its calls, and
+/// `log` outlives it.
 class peer_link
 {
 public:
@@ -30,29 +30,29 @@
     peer_link(boost::asio::any_io_executor const& executor,
               std::string const& address, decision_log& log);
 
-    /// Binds and begins to receive; call once. False, with a log line, if the
-    /// address cannot be bound.
-    bool start(receiver take);
+    /// Binds the address and starts to receive; call once. Returns false, with
+    /// a log line, if the address cannot be bound.
+    bool start(receiver handler);
 
-    /// Sends one datagram to "IP:port"; one that cannot be sent is lost.
+    /// Sends one datagram to "IP:port"; drops it if it cannot be sent.
     void send(std::string const& to, std::string const& bytes);
 
-    /// The bound "IP:port". @pre `start` succeeded.
+    /// Returns the bound "IP:port". @pre `start` succeeded.
     std::string address() const;
 
 private:
     void receive();
-    void note_unsent(std::string const& to, std::string const& why);
+    void log_unsent(std::string const& to, std::string const& why);
 
     boost::asio::ip::udp::socket socket;
     boost::asio::ip::udp::endpoint local;
     boost::asio::ip::udp::endpoint sender;
     std::array<char, 65'536> buffer{};
-    receiver take;
+    receiver handler;
     decision_log& log;
     caperpath::clock now{caperpath::clock::monotonic()};
     std::int64_t unsent{};
-    instant told_at{};
+    instant logged_at{};
 };
 
 } // namespace caperpath::gateway
--- a/src/gateway/peer_packet.cpp
+++ b/src/gateway/peer_packet.cpp
@@ -34,8 +34,7 @@
 namespace
 {
 
-/// The first byte of each packet: routers of another version are not
-/// understood.
+/// First byte of each packet: packets of another format version are rejected.
 constexpr std::uint8_t format = 1;
 
 bool is_valid(peer_packet const& packet)
@@ -51,8 +50,8 @@
         }
         return true;
     };
-    return all_positive(packet.transfers) && all_positive(packet.asks) &&
-           all_positive(packet.recalls);
+    return all_positive(packet.transfers) &&
+           all_positive(packet.token_requests) && all_positive(packet.recalls);
 }
 
 } // namespace
@@ -64,13 +63,13 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, token_ask& one)
+void serialize(Archive& archive, token_request& one)
 {
     archive(one.budget, one.number, one.tokens);
 }
 
 template <class Archive>
-void serialize(Archive& archive, token_denial& one)
+void serialize(Archive& archive, token_rejection& one)
 {
     archive(one.budget, one.number, one.retry_ms);
 }
@@ -85,7 +84,7 @@
 void serialize(Archive& archive, peer_packet& one)
 {
     archive(one.from, one.to, one.all_requests, one.transfers, one.confirmed,
-            one.reports, one.asks, one.denials, one.recalls);
+            one.reports, one.token_requests, one.token_rejections, one.recalls);
 }
 
 std::string encode(peer_packet const& packet)
--- a/src/gateway/peer_packet.hpp
+++ b/src/gateway/peer_packet.hpp
@@ -10,42 +10,46 @@
 #include <string>
 #include <vector>
 
-/// What routers tell each other of budgets, one datagram a packet.
+/// Messages about budgets between routers, one datagram per packet.
 namespace caperpath::gateway
 {
 
-/// What a router holds of a budget, for its coordinator. A hint.
+/// What a router holds of a budget, for its coordinator. A hint: it may be out
+/// of date.
 struct stock_report
 {
     budget_id budget;
     token_count free{};
     token_count spent{};
-    std::int64_t requests{}; ///< of late, in thousandths
+    std::int64_t requests{}; ///< recent count, in thousandths
 
     friend bool operator==(stock_report const&, stock_report const&) = default;
 };
 
-/// A request waits for `tokens` more of a budget.
-struct token_ask
+/// Requests `tokens` more of a budget, for callers that wait.
+struct token_request
 {
     budget_id budget;
-    std::uint64_t number{}; ///< grows with each ask of this sender
+    std::uint64_t number{}; ///< increases with each request of this sender
     token_count tokens{};
 
-    friend bool operator==(token_ask const&, token_ask const&) = default;
+    friend bool operator==(token_request const&,
+                           token_request const&) = default;
 };
 
-/// The answer to an ask that cannot be met.
-struct token_denial
+/// Rejects a token request that cannot be met.
+struct token_rejection
 {
     budget_id budget;
     std::uint64_t number{};
     std::int64_t retry_ms{}; ///< 0: the paid amount is used up
 
-    friend bool operator==(token_denial const&, token_denial const&) = default;
+    friend bool operator==(token_rejection const&,
+                           token_rejection const&) = default;
 };
 
-/// A coordinator asks for up to so many tokens that the receiver can spare.
+/// Asks the receiver to return up to `tokens` that it can spare, to the
+/// coordinator.
 struct token_recall
 {
     budget_id budget;
@@ -58,24 +62,25 @@
 struct peer_packet
 {
     incarnation_id from;
-    /// Of the receiver, for transfers and confirmations; else empty.
+    /// Incarnation of the receiver, for transfers and confirmations; otherwise
+    /// empty.
     incarnation_id to;
-    std::int64_t all_requests{}; ///< of the sender, of late, in thousandths
+    std::int64_t all_requests{}; ///< recent count of the sender, in thousandths
     std::vector<budget::transfer> transfers;
-    std::vector<std::uint64_t> confirmed; ///< numbers of the receiver's
+    std::vector<std::uint64_t> confirmed; ///< transfer numbers of the receiver
     std::vector<stock_report> reports;
-    std::vector<token_ask> asks;
-    std::vector<token_denial> denials;
+    std::vector<token_request> token_requests;
+    std::vector<token_rejection> token_rejections;
     std::vector<token_recall> recalls;
 
     friend bool operator==(peer_packet const&, peer_packet const&) = default;
 };
 
-/// So many entries of all kinds fit in one datagram on the usual links.
+/// This many entries of all kinds fit in one datagram on usual links.
 inline constexpr std::size_t most_packet_entries = 20;
 
-/// The bytes of a packet, and back; error `invalid` when they cannot be read.
-/// Thread safe.
+/// Encode and decode a packet; decoding fails with error `invalid` if the bytes
+/// are malformed. Thread safe.
 std::string encode(peer_packet const& packet);
 result<peer_packet> decode_packet(std::string const& bytes);
 
--- a/src/gateway/share_sizes.cpp
+++ b/src/gateway/share_sizes.cpp
@@ -6,34 +6,34 @@
 namespace
 {
 
-/// A router without the store lives on its shares, and a router that dies
-/// strands them. At the lowest level of refill a share still covers a usual
-/// outage.
+/// A router without the store serves from its shares, and a router that dies
+/// loses them. At the lowest refill level a share still covers a usual outage.
 constexpr duration share_horizon{10'000};
 constexpr double lowest_level = 0.75;
 constexpr double highest_level = 0.9;
 constexpr duration row_fresh{150};
-constexpr duration idle_look{2'500};
-constexpr duration near_end_look{400};
+constexpr duration idle_read_interval{2'500};
+constexpr duration near_end_read_interval{400};
 /// Callers keep their connections, so one router may have most of a customer's
-/// traffic, and its share has to last through an outage. Two parts of three of
-/// what is left are held in shares then, one part stays for those that run out
-/// first.
+/// traffic, and its share has to last through an outage. At 2, two thirds of
+/// the remaining budget are held in shares, and one third stays for routers
+/// that run out first.
 constexpr double part_by_traffic = 2;
-/// What a router whose callers have moved on keeps is lost when it is killed.
+/// The tokens kept by a router whose callers have moved on are lost when it is
+/// killed.
 constexpr double idle_factor = 1.6;
 constexpr std::int64_t half_kept_at = 9;
-/// At the end of a budget routers would return tokens one by one, too few for
-/// any request.
+/// Without a minimum, routers would return tokens one by one at the end of a
+/// budget, too few for any request.
 constexpr std::int64_t least_return_part = 2;
-/// For each router: the time in which the others look.
-constexpr duration refuse_at_once{12};
-/// Spare tokens of many routers would be more than all that was paid, and would
-/// go round between them in draws.
+/// Per router: the time in which the other routers read the row.
+constexpr duration reject_at_once{12};
+/// Without this divisor, the spare tokens of many routers would exceed the paid
+/// amount, and would circulate between them in draws.
 constexpr std::int64_t spare_divisor = 4;
-constexpr duration look_per_holder{150};
-constexpr duration near_end_look_per_holder{50};
-constexpr duration waiting_look{100};
+constexpr duration read_interval_per_holder{150};
+constexpr duration near_end_read_interval_per_holder{50};
+constexpr duration waiting_read_interval{100};
 
 } // namespace
 
@@ -48,16 +48,16 @@
     all.idle_factor = idle_factor;
     all.half_kept_at = half_kept_at;
     all.least_return_part = least_return_part;
-    all.refuse_at_once = refuse_at_once;
+    all.refuse_at_once = reject_at_once;
     all.spare_divisor = spare_divisor;
-    all.look_per_holder = look_per_holder;
-    all.near_end_look_per_holder = near_end_look_per_holder;
-    all.waiting_look = waiting_look;
+    all.look_per_holder = read_interval_per_holder;
+    all.near_end_look_per_holder = near_end_read_interval_per_holder;
+    all.waiting_look = waiting_read_interval;
     all.lowest_level = lowest_level;
     all.highest_level = highest_level;
     all.fresh = row_fresh;
-    all.look_interval = idle_look;
-    all.near_end_look = near_end_look;
+    all.look_interval = idle_read_interval;
+    all.near_end_look = near_end_read_interval;
     return all;
 }
 
--- a/src/gateway/share_sizes.hpp
+++ b/src/gateway/share_sizes.hpp
@@ -6,8 +6,8 @@
 namespace caperpath::gateway
 {
 
-/// How large the shares of this program are, and how often it looks at rows.
-/// Thread safe.
+/// Returns the sizes of this program's shares and its read intervals. Thread
+/// safe.
 budget::sizing share_sizes();
 
 } // namespace caperpath::gateway
--- a/src/gateway/spend_keeper.cpp
+++ b/src/gateway/spend_keeper.cpp
@@ -28,16 +28,16 @@
 
 void spend_keeper::start()
 {
-    this->began = this->now.now();
-    this->read_old();
+    this->started_at = this->now.now();
+    this->read_previous();
 }
 
-void spend_keeper::after(duration pause, std::function<void()> next)
+void spend_keeper::schedule(duration pause, std::function<void()> next)
 {
     call_after(this->timer, pause, std::move(next));
 }
 
-void spend_keeper::read_old()
+void spend_keeper::read_previous()
 {
     this->port.read(budget::spend_key(this->vm),
                     [this](std::variant<store::row, error> const& reply)
@@ -45,15 +45,15 @@
                         if (auto const* fault = std::get_if<error>(&reply))
                         {
                             this->log.fault(*fault);
-                            this->after(retry_pause,
-                                        [this] { this->read_old(); });
+                            this->schedule(retry_pause,
+                                           [this] { this->read_previous(); });
                             return;
                         }
-                        this->take_old(std::get<store::row>(reply));
+                        this->use_previous(std::get<store::row>(reply));
                     });
 }
 
-void spend_keeper::take_old(store::row const& row)
+void spend_keeper::use_previous(store::row const& row)
 {
     this->journal.version = row.version;
     auto const found =
@@ -64,85 +64,90 @@
     {
         this->log.fault(*fault);
     }
-    auto const* const before = std::get_if<budget::spend_row>(&found);
-    // An own row is a first write whose answer was lost.
-    auto const is_other = before != nullptr && row.version != 0 &&
-                          before->router != this->journal.written.router;
+    auto const* const previous_row = std::get_if<budget::spend_row>(&found);
+    // A row of this router is a first write whose response was lost.
+    auto const is_other = previous_row != nullptr && row.version != 0 &&
+                          previous_row->router != this->journal.written.router;
     if (is_other)
     {
-        this->old = *before;
+        this->previous = *previous_row;
     }
     this->first_write();
 }
 
-void spend_keeper::send(std::map<budget_id, budget::spend_line> const& lines,
+void spend_keeper::send(std::map<budget_id, budget::spend_line> const& limits,
                         std::function<void(store::commit_result const&)> done)
 {
-    auto const row = budget::next_row(this->journal, lines, this->now.now());
+    auto const row = budget::next_row(this->journal, limits, this->now.now());
     this->journal = budget::sent(std::move(this->journal), row);
     auto const key = budget::spend_key(this->vm);
     store::transaction txn;
     txn.conditions.push_back({key, this->journal.version});
     txn.writes.push_back({key, budget::encode(row)});
-    if (auto with_it = this->listener.with_it())
+    if (auto extra_write = this->listener.extra_write())
     {
-        txn.writes.push_back(std::move(*with_it));
+        txn.writes.push_back(std::move(*extra_write));
     }
     this->port.commit(txn, std::move(done));
 }
 
-/// The first write tells the store's time, which bounds what the router before
-/// can have spent.
+/// The response to the first write has the store's time, which bounds what the
+/// previous router can have spent.
 void spend_keeper::first_write()
 {
-    this->first_sent = this->now.now();
+    this->first_sent_at = this->now.now();
     this->send({}, [this](store::commit_result const& result)
-               { this->first_wrote(result); });
+               { this->finish_first_write(result); });
 }
 
-void spend_keeper::first_wrote(store::commit_result const& result)
+void spend_keeper::finish_first_write(store::commit_result const& result)
 {
     if (result.outcome != store::commit_outcome::applied)
     {
         this->log.fault(result.fault);
-        this->after(retry_pause, [this] { this->read_old(); });
+        this->schedule(retry_pause, [this] { this->read_previous(); });
         return;
     }
     this->journal =
         budget::acknowledged(std::move(this->journal), result.version,
                              result.store_ms, this->now.now());
-    // The router before was dead when this one had its address, which is at
-    // least so long before the store wrote the row. A store that is away for
-    // long after a crash would otherwise make the whole share count as spent.
-    auto const dead_ms = result.store_ms - (this->first_sent - this->began).ms;
+    // The previous router was dead when this one bound its address, which is
+    // at least `first_sent_at - started_at` earlier than the store time of the
+    // row. Without subtracting this, a long outage of the store after a crash
+    // would make the whole share count as spent.
+    auto const dead_ms =
+        result.store_ms - (this->first_sent_at - this->started_at).ms;
     auto const spent =
-        this->old ? budget::spent_at_most(
-                        *this->old, this->journal.written.address, dead_ms)
-                  : std::nullopt;
-    auto const age = this->old ? dead_ms - this->old->at_ms : 0;
-    this->log.write(log_weight::notable, "spend_row",
-                    {{"before", this->old ? this->old->router.value : "none"},
-                     {"known", spent ? "yes" : "no"},
-                     {"age_ms", std::to_string(age)}});
+        this->previous
+            ? budget::spent_at_most(*this->previous,
+                                    this->journal.written.address, dead_ms)
+            : std::nullopt;
+    auto const age = this->previous ? dead_ms - this->previous->at_ms : 0;
+    this->log.write(
+        log_weight::notable, "spend_row",
+        {{"before", this->previous ? this->previous->router.value : "none"},
+         {"known", spent ? "yes" : "no"},
+         {"age_ms", std::to_string(age)}});
     if (spent)
     {
-        this->listener.inherit(this->old->router, *spent);
+        this->listener.inherit(this->previous->router, *spent);
     }
     this->started = true;
     this->write();
 }
 
-void spend_keeper::hurry()
+void spend_keeper::write_soon()
 {
     if (!this->started || this->journal.fenced)
     {
         return;
     }
-    // After a failed write its next try comes by itself: sent at each wish for
-    // a higher line, a store that refuses at once would get 25 a second.
+    // After a failed write a retry is already scheduled. If each waiting
+    // reservation sent another write, a store that rejects at once would get 25
+    // writes a second.
     if (this->writing || this->journal.pending)
     {
-        this->hurried = true;
+        this->write_again = true;
         return;
     }
     this->write();
@@ -155,40 +160,40 @@
         return;
     }
     this->writing = true;
-    // A row that is sent again was meant for an earlier moment.
-    this->hurried = this->journal.pending.has_value();
-    // One that is sent again has the lines of its first try.
-    this->sent_at = this->hurried ? this->sent_at : this->now.now();
-    this->send(this->listener.wanted(),
-               [this](auto const& result) { this->wrote(result); });
+    // A retried row holds older limits, so a new one follows it.
+    this->write_again = this->journal.pending.has_value();
+    // A retry has the limits of its first attempt, and so keeps its send time.
+    this->sent_at = this->write_again ? this->sent_at : this->now.now();
+    this->send(this->listener.required(),
+               [this](auto const& result) { this->finish_write(result); });
 }
 
-void spend_keeper::wrote(store::commit_result const& result)
+void spend_keeper::finish_write(store::commit_result const& result)
 {
     this->writing = false;
     if (result.outcome != store::commit_outcome::applied)
     {
-        this->refused(result);
+        this->retry_rejected(result);
         return;
     }
     this->journal =
         budget::acknowledged(std::move(this->journal), result.version,
                              result.store_ms, this->now.now());
-    this->written_for = this->sent_at;
+    this->acknowledged_sent_at = this->sent_at;
     this->listener.changed();
-    if (this->hurried)
+    if (this->write_again)
     {
         this->write();
         return;
     }
-    this->after(this->listener.pause(), [this] { this->write(); });
+    this->schedule(this->listener.interval(), [this] { this->write(); });
 }
 
-/// A write without an answer may be applied later. Its row is our own then, and
-/// the next write names its version.
-void spend_keeper::refused(store::commit_result const& result)
+/// A write without a response may be applied later. The row in the store is
+/// then this router's own, and the next write is conditional on its version.
+void spend_keeper::retry_rejected(store::commit_result const& result)
 {
-    auto landed = false;
+    auto was_applied = false;
     for (auto const& row : result.failed)
     {
         auto const found =
@@ -203,7 +208,7 @@
             this->journal = budget::found_own(std::move(this->journal),
                                               *in_store, row.version);
         }
-        landed = landed || is_own;
+        was_applied = was_applied || is_own;
     }
     this->listener.changed();
     if (this->journal.fenced)
@@ -212,12 +217,12 @@
                         {{"outcome", "another process has this address"}});
         return;
     }
-    if (landed)
+    if (was_applied)
     {
         this->write();
         return;
     }
-    this->after(retry_pause, [this] { this->write(); });
+    this->schedule(retry_pause, [this] { this->write(); });
 }
 
 token_count spend_keeper::limit(budget_id const& budget,
@@ -230,7 +235,7 @@
 
 bool spend_keeper::has_written_since(instant at) const
 {
-    return this->written_for >= at;
+    return this->acknowledged_sent_at >= at;
 }
 
 bool spend_keeper::ready() const
--- a/src/gateway/spend_keeper.hpp
+++ b/src/gateway/spend_keeper.hpp
@@ -18,34 +18,36 @@
 namespace caperpath::gateway
 {
 
-/// Whom a spend keeper asks and tells.
+/// Callbacks through which the spend row is filled and its changes are
+/// reported.
 struct spend_listener
 {
-    /// The lines that the budgets need now.
-    std::function<std::map<budget_id, budget::spend_line>()> wanted;
+    /// Returns the spend limits that the budgets need now.
+    std::function<std::map<budget_id, budget::spend_line>()> required;
 
-    /// A row that this router wants to write with the next spend row, if it is
-    /// time for one.
-    std::function<std::optional<store::row_write>()> with_it;
+    /// Returns a row to write together with the next spend row, if one is due.
+    std::function<std::optional<store::row_write>()> extra_write;
 
-    /// The pause between two rows while nobody waits for a line.
-    std::function<duration()> pause;
+    /// Returns the interval between two spend rows while no reservation waits
+    /// for a higher limit.
+    std::function<duration()> interval;
 
-    /// The limits may have changed.
+    /// Called when the spend limits may have changed.
     std::function<void()> changed;
 
-    /// Called once, before the first limit above zero: the dead router that had
-    /// this address, with the most that it can have spent. From then on
-    /// `wanted` holds at least that for each budget whose share may be renamed:
-    /// read with a lower line, what the dead router had spent would be spent
+    /// Called once, before the first limit above zero, with the dead router
+    /// that had this address and the most that it can have spent. From then on
+    /// `required` must hold at least that for each budget whose share may be
+    /// renamed: with a lower limit, a successor would spend the same tokens
     /// again.
     std::function<void(incarnation_id const& dead,
-                       std::map<budget_id, budget::spend_line> const& left)>
+                       std::map<budget_id, budget::spend_line> const& limits)>
         inherit;
 };
 
-/// Keeps this router's spend row in the store and reads that of the router
-/// before it. Loop thread only; outlives its calls, and `log` outlives it.
+/// Writes this router's spend row to the store and reads that of the previous
+/// router at this address. Loop thread only; outlives its calls, and `log`
+/// outlives it.
 class spend_keeper
 {
 public:
@@ -54,35 +56,36 @@
                  incarnation_id self, spend_listener listener,
                  decision_log& log);
 
-    /// Begins; call once the own address is bound: that proves that the router
-    /// which had it is dead.
+    /// Starts reading and writing. @pre this router's address is bound, which
+    /// proves that the previous router at it is dead.
     void start();
 
-    /// A reservation waits for a higher line.
-    void hurry();
+    /// Writes the row as soon as possible: a reservation waits for a higher
+    /// limit.
+    void write_soon();
 
-    /// The most that may be spent of what is held at `at`, now or later, if the
-    /// store is not heard until then.
+    /// Returns how many of the `held` tokens may be spent at `at`, if the store
+    /// does not respond until then.
     token_count limit(budget_id const& budget, budget::held_tokens const& held,
                       instant at) const;
 
-    /// The store has a row that was written since `at`.
+    /// Returns true if the store has acknowledged a row sent at `at` or later.
     bool has_written_since(instant at) const;
 
-    /// True when limits above zero may be given.
+    /// Returns true once limits may be above zero.
     bool ready() const;
 
 private:
-    void read_old();
-    void take_old(store::row const& row);
+    void read_previous();
+    void use_previous(store::row const& row);
     void first_write();
-    void first_wrote(store::commit_result const& result);
-    void send(std::map<budget_id, budget::spend_line> const& lines,
+    void finish_first_write(store::commit_result const& result);
+    void send(std::map<budget_id, budget::spend_line> const& limits,
               std::function<void(store::commit_result const&)> done);
     void write();
-    void wrote(store::commit_result const& result);
-    void refused(store::commit_result const& result);
-    void after(duration pause, std::function<void()> next);
+    void finish_write(store::commit_result const& result);
+    void retry_rejected(store::commit_result const& result);
+    void schedule(duration pause, std::function<void()> next);
 
     boost::asio::steady_timer timer;
     store::async_port port;
@@ -91,14 +94,14 @@
     decision_log& log;
     caperpath::clock now{caperpath::clock::monotonic()};
     budget::spend_journal journal;
-    std::optional<budget::spend_row> old; ///< of the router before
-    instant began{};                      ///< the own address was bound
-    instant first_sent{};                 ///< the latest try of the first write
-    instant sent_at{};                    ///< the write under way
-    instant written_for{}; ///< when the row that the store has was sent
+    std::optional<budget::spend_row> previous; ///< of the previous router
+    instant started_at{};           ///< when the own address was bound
+    instant first_sent_at{};        ///< latest attempt of the first write
+    instant sent_at{};              ///< send time of the write under way
+    instant acknowledged_sent_at{}; ///< send time of the acknowledged row
     bool writing{false};
     bool started{false};
-    bool hurried{false};
+    bool write_again{false};
 };
 
 } // namespace caperpath::gateway
--- a/src/gateway/token_asks.cpp
+++ b/src/gateway/token_asks.cpp
@@ -6,89 +6,97 @@
 #include <string>
 #include <utility>
 
-/// How a router asks the coordinators of a budget for tokens.
+/// How a router requests tokens from the coordinators of a budget.
 namespace caperpath::gateway
 {
 
 namespace
 {
 
-/// A coordinator that did not answer so long is passed over for a while.
-constexpr duration answer_expected{120};
-constexpr duration ask_again{40};
-constexpr duration passed_over{1'000};
-/// Callers that lack as much as one that was refused are refused at once.
-constexpr duration denial_counts{300};
+/// A coordinator that does not respond within the timeout is skipped for a
+/// while.
+constexpr duration response_timeout{120};
+constexpr duration retry_interval{40};
+constexpr duration silence_lifetime{1'000};
+/// While a rejection is this recent, callers that lack at least as many tokens
+/// are rejected at once.
+constexpr duration rejection_lifetime{300};
 
 } // namespace
 
-void token_exchange::take_denial(vm_id const& from, token_denial const& denial,
-                                 instant now)
+void token_exchange::handle_rejection(vm_id const& from,
+                                      token_rejection const& rejection,
+                                      instant now)
 {
-    auto& of = this->trade_of(denial.budget);
-    if (!of.asked || denial.number != of.asks)
+    auto& of = this->state_of(rejection.budget);
+    if (!of.pending || rejection.number != of.last_request)
     {
-        return; // of an earlier ask
+        return; // rejects an earlier request
     }
-    duration const retry_after{denial.retry_ms};
+    duration const retry_after{rejection.retry_ms};
     this->log.write(log_weight::routine, "denied",
-                    {{"budget", denial.budget.value},
-                     {"tokens", std::to_string(of.asked->tokens)},
+                    {{"budget", rejection.budget.value},
+                     {"tokens", std::to_string(of.pending->tokens)},
                      {"coordinator", from.value},
-                     {"retry_ms", std::to_string(denial.retry_ms)}});
-    of.denied = {of.asked->tokens, retry_after, now + denial_counts};
-    of.asked.reset();
-    this->shares.refuse(denial.budget, retry_after);
+                     {"retry_ms", std::to_string(rejection.retry_ms)}});
+    of.rejected = {of.pending->tokens, retry_after, now + rejection_lifetime};
+    of.pending.reset();
+    this->shares.reject(rejection.budget, retry_after);
 }
 
-void token_exchange::want(budget_id const& budget, instant now)
+void token_exchange::request_tokens(budget_id const& budget, instant now)
 {
-    auto& of = this->trade_of(budget);
+    auto& of = this->state_of(budget);
     auto const lacking = this->shares.view(budget).lacking;
-    if (lacking <= 0 || of.asked)
+    if (lacking <= 0 || of.pending)
     {
         return;
     }
-    if (of.denied && now < of.denied->until && lacking >= of.denied->tokens)
+    if (of.rejected && now < of.rejected->until &&
+        lacking >= of.rejected->tokens)
     {
-        this->shares.refuse(budget, of.denied->retry_after);
+        this->shares.reject(budget, of.rejected->retry_after);
         return;
     }
-    of.asks += 1;
-    of.asked = open_ask{lacking};
-    this->ask(budget, of, now);
+    of.last_request += 1;
+    of.pending = open_request{lacking};
+    this->send_request(budget, of, now);
     this->flush();
 }
 
-/// Asks the first coordinator that is not silent; this router, where it comes
-/// first, draws by itself and asks the others for what the row does not have.
-void token_exchange::ask(budget_id const& budget, trade& of, instant now)
+/// Sends the request to the first coordinator that is not silent. If that is
+/// this router, it draws by itself and recalls from the others what the budget
+/// row lacks.
+void token_exchange::send_request(budget_id const& budget, budget_state& of,
+                                  instant now)
 {
-    auto& asked = *of.asked;
-    while (asked.rank < of.coordinators.size() &&
-           of.coordinators[asked.rank] != this->self &&
-           this->is_silent(of.coordinators[asked.rank], now))
+    auto& pending = *of.pending;
+    while (pending.rank < of.coordinators.size() &&
+           of.coordinators[pending.rank] != this->self &&
+           this->is_silent(of.coordinators[pending.rank], now))
     {
-        asked.rank += 1;
+        pending.rank += 1;
     }
-    asked.sent_at = now;
-    asked.sends = 1;
-    if (asked.rank >= of.coordinators.size())
+    pending.sent_at = now;
+    pending.sends = 1;
+    if (pending.rank >= of.coordinators.size())
     {
         this->shares.draw_alone(budget);
         return;
     }
-    if (of.coordinators[asked.rank] != this->self)
+    if (of.coordinators[pending.rank] != this->self)
     {
-        this->packet_to(of.coordinators[asked.rank])
-            .asks.push_back({budget, of.asks, asked.tokens});
+        this->packet_to(of.coordinators[pending.rank])
+            .token_requests.push_back(
+                {budget, of.last_request, pending.tokens});
         return;
     }
-    this->serve_self(budget, of, now);
+    this->serve_own_callers(budget, of, now);
 }
 
-/// Callers wait at the coordinator itself.
-void token_exchange::serve_self(budget_id const& budget, trade& of, instant now)
+/// Serves callers that wait at the coordinator itself.
+void token_exchange::serve_own_callers(budget_id const& budget,
+                                       budget_state& of, instant now)
 {
     auto const view = this->shares.view(budget);
     auto const missing = view.lacking - view.ungranted;
@@ -99,53 +107,55 @@
     auto const stock = this->stock_of(budget, of, now);
     if (free_elsewhere(stock) >= missing)
     {
-        this->gather(budget, missing, now);
+        this->recall_missing(budget, missing, now);
         return;
     }
     auto const retry_after = this->is_used_up(stock, view, view.lacking)
                                  ? duration{0}
-                                 : retry_denied;
-    of.denied = {view.lacking, retry_after, now + denial_counts};
-    of.asked.reset();
-    this->shares.refuse(budget, retry_after);
+                                 : retry_after_rejection;
+    of.rejected = {view.lacking, retry_after, now + rejection_lifetime};
+    of.pending.reset();
+    this->shares.reject(budget, retry_after);
 }
 
-/// An ask, or its answer, may be lost: it is sent again, then the next
-/// coordinator is asked.
-void token_exchange::ask_next(budget_id const& budget, trade& of, instant now)
+/// A request or its response may be lost: retries the request, then tries the
+/// next coordinator.
+void token_exchange::retry_request(budget_id const& budget, budget_state& of,
+                                   instant now)
 {
     if (this->shares.view(budget).lacking <= 0)
     {
-        of.asked.reset();
+        of.pending.reset();
         return;
     }
-    auto& asked = *of.asked;
-    auto const since = now - asked.sent_at;
-    if (asked.rank >= of.coordinators.size() ||
-        of.coordinators[asked.rank] == this->self)
+    auto& pending = *of.pending;
+    auto const since = now - pending.sent_at;
+    if (pending.rank >= of.coordinators.size() ||
+        of.coordinators[pending.rank] == this->self)
     {
-        if (since >= answer_expected)
+        if (since >= response_timeout)
         {
-            of.asked.reset();
+            of.pending.reset();
         }
         return;
     }
-    auto const& coordinator = of.coordinators[asked.rank];
-    if (since >= answer_expected)
+    auto const& coordinator = of.coordinators[pending.rank];
+    if (since >= response_timeout)
     {
         this->log.write(log_weight::routine, "silent",
                         {{"budget", budget.value},
-                         {"tokens", std::to_string(asked.tokens)},
+                         {"tokens", std::to_string(pending.tokens)},
                          {"coordinator", coordinator.value}});
-        this->peers[coordinator].silent_until = now + passed_over;
-        asked.rank += 1;
-        this->ask(budget, of, now);
+        this->peers[coordinator].silent_until = now + silence_lifetime;
+        pending.rank += 1;
+        this->send_request(budget, of, now);
     }
-    else if (since >= ask_again * asked.sends)
+    else if (since >= retry_interval * pending.sends)
     {
-        asked.sends += 1;
+        pending.sends += 1;
         this->packet_to(coordinator)
-            .asks.push_back({budget, of.asks, asked.tokens});
+            .token_requests.push_back(
+                {budget, of.last_request, pending.tokens});
     }
 }
 
--- a/src/gateway/token_exchange.cpp
+++ b/src/gateway/token_exchange.cpp
@@ -11,8 +11,9 @@
 {
 
 constexpr double thousandths = 1'000;
-/// A router that was heard of so lately is there, whatever the rows say.
-constexpr duration counts_as_alive{10'000};
+/// A router that sent a packet this recently counts as alive, whatever the
+/// heartbeat rows say.
+constexpr duration peer_lifetime{10'000};
 
 std::int64_t in_thousandths(double count)
 {
@@ -32,7 +33,7 @@
 {
 }
 
-void token_exchange::note_routers(
+void token_exchange::set_peers(
     std::map<std::string, incarnation_id> const& live, instant now)
 {
     std::map<vm_id, peer> next;
@@ -48,12 +49,12 @@
             found != this->peers.end() && found->second.incarnation == router;
         next[vm] = is_known ? found->second : peer{router};
     }
-    // A router that was heard of may be newer than the rows that were read.
+    // A router that sent packets may be newer than the heartbeat rows read.
     for (auto const& [vm, one] : this->peers)
     {
-        auto const is_heard =
-            one.heard_at > instant{} && now - one.heard_at < counts_as_alive;
-        if (is_heard)
+        auto const is_recent = one.received_at > instant{} &&
+                               now - one.received_at < peer_lifetime;
+        if (is_recent)
         {
             next[vm] = one;
         }
@@ -64,14 +65,14 @@
                                  { return a.first == b.first; });
     if (this->peers.empty() && !next.empty())
     {
-        this->known_since = now;
+        this->peers_known_since = now;
     }
     this->peers = std::move(next);
     if (same)
     {
         return;
     }
-    for (auto& [budget, of] : this->trades)
+    for (auto& [budget, of] : this->states)
     {
         of.coordinators.clear();
         std::erase_if(of.routers, [this](auto const& entry)
@@ -79,9 +80,9 @@
     }
 }
 
-token_exchange::trade& token_exchange::trade_of(budget_id const& budget)
+token_exchange::budget_state& token_exchange::state_of(budget_id const& budget)
 {
-    auto& of = this->trades[budget];
+    auto& of = this->states[budget];
     if (of.coordinators.empty())
     {
         std::vector<vm_id> vms{this->self};
@@ -96,7 +97,7 @@
 
 bool token_exchange::is_coordinator(budget_id const& budget)
 {
-    return this->trade_of(budget).coordinators.front() == this->self;
+    return this->state_of(budget).coordinators.front() == this->self;
 }
 
 bool token_exchange::is_silent(vm_id const& router, instant now) const
@@ -109,12 +110,12 @@
 {
     auto const found = this->peers.find(router);
     return found != this->peers.end() && now >= found->second.silent_until &&
-           !budget::is_overdue(this->sent, found->second.incarnation);
+           !budget::is_overdue(this->outgoing, found->second.incarnation);
 }
 
-bool token_exchange::may_be_answered(budget_id const& budget, instant now)
+bool token_exchange::may_get_response(budget_id const& budget, instant now)
 {
-    auto const& coordinators = this->trade_of(budget).coordinators;
+    auto const& coordinators = this->state_of(budget).coordinators;
     return std::any_of(coordinators.begin(), coordinators.end(),
                        [&](vm_id const& one) {
                            return one != this->self &&
@@ -122,17 +123,18 @@
                        });
 }
 
-double token_exchange::requests(budget_id const& budget, instant now) const
+double token_exchange::recent_requests(budget_id const& budget,
+                                       instant now) const
 {
-    auto const found = this->trades.find(budget);
-    return found == this->trades.end()
+    auto const found = this->states.find(budget);
+    return found == this->states.end()
                ? 0
                : budget::value_at(found->second.requests, now);
 }
 
-void token_exchange::note_request(budget_id const& budget, instant now)
+void token_exchange::count_request(budget_id const& budget, instant now)
 {
-    auto& of = this->trade_of(budget);
+    auto& of = this->state_of(budget);
     of.requests = budget::counted(of.requests, now);
     this->all_requests = budget::counted(this->all_requests, now);
 }
@@ -141,7 +143,8 @@
 {
     auto& packet = this->packets[to];
     auto const entries = packet.transfers.size() + packet.reports.size() +
-                         packet.asks.size() + packet.denials.size() +
+                         packet.token_requests.size() +
+                         packet.token_rejections.size() +
                          packet.recalls.size() + packet.confirmed.size() / 2;
     if (entries >= most_packet_entries)
     {
@@ -174,70 +177,70 @@
         this->log.fault(*fault);
         return;
     }
-    this->hear({from}, std::get<peer_packet>(read), now);
+    this->handle_packet({from}, std::get<peer_packet>(read), now);
     this->flush();
 }
 
-void token_exchange::hear(vm_id const& from, peer_packet const& packet,
-                          instant now)
+void token_exchange::handle_packet(vm_id const& from, peer_packet const& packet,
+                                   instant now)
 {
     auto& sender = this->peers[from];
     if (sender.incarnation != packet.from)
     {
-        this->sent =
-            budget::abandoned(std::move(this->sent), sender.incarnation);
+        this->outgoing =
+            budget::abandoned(std::move(this->outgoing), sender.incarnation);
         sender.incarnation = packet.from;
     }
-    sender.heard_at = now;
+    sender.received_at = now;
     sender.all_requests =
         static_cast<double>(packet.all_requests) / thousandths;
     sender.silent_until = {};
     if (packet.to == this->incarnation)
     {
-        this->take_transfers(from, packet);
+        this->handle_transfers(from, packet);
     }
     for (auto const& one : packet.reports)
     {
-        this->take_report(from, one, now);
+        this->handle_report(from, one, now);
     }
-    for (auto const& one : packet.asks)
+    for (auto const& one : packet.token_requests)
     {
-        this->serve(from, one, now);
+        this->serve_request(from, one, now);
     }
     for (auto const& one : packet.recalls)
     {
         this->serve_recall(from, one);
     }
-    for (auto const& one : packet.denials)
+    for (auto const& one : packet.token_rejections)
     {
-        this->take_denial(from, one, now);
+        this->handle_rejection(from, one, now);
     }
 }
 
-void token_exchange::take_transfers(vm_id const& from,
-                                    peer_packet const& packet)
+void token_exchange::handle_transfers(vm_id const& from,
+                                      peer_packet const& packet)
 {
-    this->sent =
-        budget::confirmed(std::move(this->sent), packet.from, packet.confirmed);
+    this->outgoing = budget::confirmed(std::move(this->outgoing), packet.from,
+                                       packet.confirmed);
     for (auto const& one : packet.transfers)
     {
         auto step =
-            budget::take(std::move(this->taken), packet.from, one.number);
-        this->taken = std::move(step.taken);
+            budget::take(std::move(this->incoming), packet.from, one.number);
+        this->incoming = std::move(step.taken);
         this->packet_to(from).confirmed.push_back(one.number);
         if (!step.is_new)
         {
             continue;
         }
-        this->trade_of(one.budget).asked.reset();
+        this->state_of(one.budget).pending.reset();
         this->shares.put(one.budget, one.tokens);
     }
 }
 
-void token_exchange::take_report(vm_id const& from, stock_report const& report,
-                                 instant now)
+void token_exchange::handle_report(vm_id const& from,
+                                   stock_report const& report, instant now)
 {
-    auto& stock = this->trade_of(report.budget).routers[from];
+    auto& stock = this->state_of(report.budget).routers[from];
     stock.free = report.free;
     stock.spent = report.spent;
     stock.requests = {static_cast<double>(report.requests) / thousandths, now};
@@ -245,8 +248,8 @@
 
 void token_exchange::send_transfers(instant now)
 {
-    auto step = budget::take_due(std::move(this->sent), now);
-    this->sent = std::move(step.sent);
+    auto step = budget::take_due(std::move(this->outgoing), now);
+    this->outgoing = std::move(step.sent);
     if (step.due.empty())
     {
         return;
@@ -267,18 +270,18 @@
 
 void token_exchange::tick(instant now)
 {
-    for (auto& [budget, of] : this->trades)
+    for (auto& [budget, of] : this->states)
     {
-        if (of.asked)
+        if (of.pending)
         {
-            this->ask_next(budget, of, now);
+            this->retry_request(budget, of, now);
         }
         else if (this->shares.view(budget).lacking > 0)
         {
-            this->want(budget, now);
+            this->request_tokens(budget, now);
         }
     }
-    this->report(now);
+    this->send_reports(now);
     this->distribute(now);
     this->send_transfers(now);
     this->flush();
--- a/src/gateway/token_refusal.hpp
+++ b/src/gateway/token_refusal.hpp
@@ -7,10 +7,11 @@
 namespace caperpath::gateway
 {
 
-/// When to come back after a refusal for tokens that other routers hold.
-inline constexpr duration retry_denied{1'000};
+/// Retry delay for callers that are rejected while other routers hold the
+/// tokens.
+inline constexpr duration retry_after_rejection{1'000};
 
-/// Free tokens of all routers but the coordinator. Thread safe.
+/// Returns the free tokens of all routers but the coordinator. Thread safe.
 inline token_count free_elsewhere(budget::budget_stock const& stock)
 {
     token_count all = 0;
--- a/src/gateway/token_service.cpp
+++ b/src/gateway/token_service.cpp
@@ -5,25 +5,26 @@
 #include <algorithm>
 #include <utility>
 
-/// How a router gives tokens to others, and a coordinator finds them.
+/// How a router sends tokens to others, and a coordinator recalls them.
 namespace caperpath::gateway
 {
 
 namespace
 {
 
-/// A coordinator draws, raises its spend line and asks others within this.
-constexpr duration longest_service{80};
-constexpr duration longest_recall{200};
-/// A router that runs out gets a little more than it lacks, while there is
-/// plenty.
+/// Time limits of a draw, a spend limit raise and a transfer, for a token
+/// request and for a recall.
+constexpr duration request_time_limit{80};
+constexpr duration recall_time_limit{200};
+/// While tokens are plentiful, a router that runs out gets more than it lacks,
+/// by up to the remaining free tokens divided by this.
 constexpr token_count extra_divisor = 8;
 
 } // namespace
 
-void token_exchange::give(vm_id const& to, budget_id const& budget,
-                          token_count tokens, duration wait,
-                          std::function<void()> failed)
+void token_exchange::send_tokens(vm_id const& to, budget_id const& budget,
+                                 token_count tokens, duration wait,
+                                 std::function<void()> failed)
 {
     this->shares.take(
         budget, tokens, wait,
@@ -37,21 +38,22 @@
             }
             if (found == this->peers.end())
             {
-                // The router has gone in the meantime: keep them.
+                // The receiver is gone: return the tokens to the share.
                 this->shares.put(budget, tokens);
                 return;
             }
-            auto step =
-                budget::post(std::move(this->sent), found->second.incarnation,
-                             budget, tokens, this->time.now());
-            this->sent = std::move(step.sent);
+            auto step = budget::post(std::move(this->outgoing),
+                                     found->second.incarnation, budget, tokens,
+                                     this->time.now());
+            this->outgoing = std::move(step.sent);
             this->packet_to(to).transfers.push_back(std::move(step.what));
             this->flush();
         });
 }
 
 budget::budget_stock token_exchange::stock_of(budget_id const& budget,
-                                              trade const& of, instant now)
+                                              budget_state const& of,
+                                              instant now)
 {
     auto const view = this->shares.view(budget);
     budget::budget_stock stock;
@@ -75,8 +77,10 @@
     return stock;
 }
 
-/// Reports are late, so more is spent than they tell. After a crash they count
-/// what lies under the dead router's line as well: nobody can use it any more.
+/// Returns true if less than `tokens` of the paid amount is unspent. Reports
+/// are late, so more is spent than they say. After a crash they include
+/// everything below the dead router's spend limit, which no router can use any
+/// more.
 bool token_exchange::is_used_up(budget::budget_stock const& stock,
                                 share_view const& view,
                                 token_count tokens) const
@@ -89,10 +93,10 @@
     return view.paid > 0 && view.paid - spent < tokens;
 }
 
-void token_exchange::gather(budget_id const& budget, token_count missing,
-                            instant now)
+void token_exchange::recall_missing(budget_id const& budget,
+                                    token_count missing, instant now)
 {
-    auto& of = this->trade_of(budget);
+    auto& of = this->state_of(budget);
     auto const stock = this->stock_of(budget, of, now);
     for (auto const& one : budget::gather(stock, missing))
     {
@@ -101,54 +105,56 @@
     }
 }
 
-void token_exchange::serve(vm_id const& from, token_ask const& ask, instant now)
+void token_exchange::serve_request(vm_id const& from,
+                                   token_request const& request, instant now)
 {
-    auto& of = this->trade_of(ask.budget);
+    auto& of = this->state_of(request.budget);
     auto& served = of.served[from];
-    auto const& asker = this->peers.at(from).incarnation;
-    if (served.asker == asker && ask.number <= served.number)
+    auto const& requester = this->peers.at(from).incarnation;
+    if (served.requester == requester && request.number <= served.number)
     {
-        return; // its answer is on its way, and sent again if it is lost
+        return; // its response is under way, and retried if lost
     }
-    served = {asker, ask.number};
-    auto const deny = [this, from, ask](duration retry_after)
+    served = {requester, request.number};
+    auto const reject = [this, from, request](duration retry_after)
     {
-        this->packet_to(from).denials.push_back(
-            {ask.budget, ask.number, retry_after.ms});
+        this->packet_to(from).token_rejections.push_back(
+            {request.budget, request.number, retry_after.ms});
     };
-    auto const view = this->shares.view(ask.budget);
-    of.routers[from].free = 0; // it would not ask otherwise
-    auto const missing = ask.tokens - view.free - view.ungranted;
+    auto const view = this->shares.view(request.budget);
+    of.routers[from].free = 0; // otherwise it would not request tokens
+    auto const missing = request.tokens - view.free - view.ungranted;
     if (missing > 0)
     {
-        auto const stock = this->stock_of(ask.budget, of, now);
-        this->gather(ask.budget, missing, now);
+        auto const stock = this->stock_of(request.budget, of, now);
+        this->recall_missing(request.budget, missing, now);
         if (free_elsewhere(stock) < missing)
         {
-            // Some of the callers that wait there may need less.
-            auto const used_up = this->is_used_up(stock, view, ask.tokens);
-            this->give_rest(from, ask.budget, view.free);
-            deny(used_up ? duration{0} : retry_denied);
+            // Some of the callers that wait there may need fewer tokens.
+            auto const used_up = this->is_used_up(stock, view, request.tokens);
+            this->send_remaining(from, request.budget, view.free);
+            reject(used_up ? duration{0} : retry_after_rejection);
             return;
         }
     }
-    auto const plenty = std::max<token_count>(0, view.free - ask.tokens);
+    auto const plenty = std::max<token_count>(0, view.free - request.tokens);
     auto const extra = std::min(plenty / extra_divisor,
                                 static_cast<token_count>(view.mean_request));
-    this->give(from, ask.budget, ask.tokens + extra, longest_service,
-               [this, deny]
-               {
-                   deny(retry_denied);
-                   this->flush();
-               });
+    this->send_tokens(from, request.budget, request.tokens + extra,
+                      request_time_limit,
+                      [this, reject]
+                      {
+                          reject(retry_after_rejection);
+                          this->flush();
+                      });
 }
 
-void token_exchange::give_rest(vm_id const& to, budget_id const& budget,
-                               token_count free)
+void token_exchange::send_remaining(vm_id const& to, budget_id const& budget,
+                                    token_count free)
 {
     if (free > 0)
     {
-        this->give(to, budget, free, duration{0}, [] {});
+        this->send_tokens(to, budget, free, duration{0}, [] {});
     }
 }
 
@@ -158,7 +164,8 @@
     auto const tokens = std::min(free, recall.tokens);
     if (tokens > 0)
     {
-        this->give(from, recall.budget, tokens, longest_recall, [] {});
+        this->send_tokens(from, recall.budget, tokens, recall_time_limit,
+                          [] {});
     }
 }
 
--- a/src/gateway/token_spread.cpp
+++ b/src/gateway/token_spread.cpp
@@ -6,8 +6,8 @@
 #include <cmath>
 #include <string>
 
-/// How a router tells its coordinators what it holds, and what a coordinator
-/// spreads before anybody asks.
+/// How a router reports its stock to its coordinators, and a coordinator
+/// distributes tokens ahead of demand.
 namespace caperpath::gateway
 {
 
@@ -18,25 +18,27 @@
 constexpr duration report_interval{1'000};
 constexpr duration whole_report_interval{5'000};
 constexpr duration distribution_interval{1'000};
-/// A router that reported nothing for so long holds nothing.
-constexpr duration all_reported{6'500};
-/// A change of less than this part of what was reported is not worth a message.
-constexpr double reported_part = 0.2;
-/// What a coordinator spreads waits so long for a draw and a spend line.
-constexpr duration longest_spread{900};
-/// Budgets without any request are spread ahead only by a coordinator that has
-/// so few of them: nothing is done for the many that are idle.
-constexpr std::size_t most_idle_spread = 16;
+/// A router without a report for this long holds nothing.
+constexpr duration all_reported_after{6'500};
+/// A change of less than this part of the reported value is not reported.
+constexpr double least_reported_change = 0.2;
+/// How long distributed tokens may wait for a draw and a spend limit.
+constexpr duration distribution_time_limit{900};
+/// A coordinator distributes budgets without requests only if it has at most
+/// this many of them, so that many idle budgets cost nothing.
+constexpr std::size_t most_idle_distributed = 16;
 
-bool is_news(stock_report const& before, stock_report const& now,
-             double request)
+bool is_worth_reporting(stock_report const& before, stock_report const& now,
+                        double request)
 {
     auto const differs = [](std::int64_t a, std::int64_t b)
     {
         auto const most = static_cast<double>(std::max(a, b));
-        return static_cast<double>(std::abs(a - b)) > reported_part * most;
+        return static_cast<double>(std::abs(a - b)) >
+               least_reported_change * most;
     };
-    // Whether a budget is used up is decided by what was spent.
+    // The spent tokens decide whether a budget is used up, so they are reported
+    // at a finer step.
     auto const spent = static_cast<double>(now.spent - before.spent);
     return differs(before.free, now.free) ||
            differs(before.requests, now.requests) || spent > request;
@@ -44,7 +46,7 @@
 
 } // namespace
 
-void token_exchange::report(instant now)
+void token_exchange::send_reports(instant now)
 {
     if (this->peers.empty() || now - this->reported_at < report_interval)
     {
@@ -55,12 +57,12 @@
     this->reported_all_at = all ? now : this->reported_all_at;
     for (auto const& budget : this->shares.in_use())
     {
-        auto& of = this->trade_of(budget);
+        auto& of = this->state_of(budget);
         auto const view = this->shares.view(budget);
         stock_report const next{
             budget, view.free, view.spent,
             std::llround(budget::value_at(of.requests, now) * thousandths)};
-        if (!all && !is_news(of.reported, next, view.mean_request))
+        if (!all && !is_worth_reporting(of.reported, next, view.mean_request))
         {
             continue;
         }
@@ -91,7 +93,7 @@
         {
             continue;
         }
-        auto& of = this->trade_of(budget);
+        auto& of = this->state_of(budget);
         auto const has_traffic =
             of.requests.requests > 0 ||
             std::any_of(of.routers.begin(), of.routers.end(),
@@ -106,18 +108,19 @@
             idle.push_back(budget);
         }
     }
-    if (idle.size() <= most_idle_spread)
+    if (idle.size() <= most_idle_distributed)
     {
         for (auto const& budget : idle)
         {
-            this->distribute(budget, this->trade_of(budget), now);
+            this->distribute(budget, this->state_of(budget), now);
         }
     }
 }
 
-void token_exchange::distribute(budget_id const& budget, trade& of, instant now)
+void token_exchange::distribute(budget_id const& budget, budget_state& of,
+                                instant now)
 {
-    if (now - this->known_since >= all_reported)
+    if (now - this->peers_known_since >= all_reported_after)
     {
         for (auto const& [vm, one] : this->peers)
         {
@@ -129,7 +132,7 @@
         return;
     }
     auto const plan = budget::distribute(this->stock_of(budget, of, now));
-    this->shares.hold(budget, plan.pool_target);
+    this->shares.set_pool_target(budget, plan.pool_target);
     token_count given = 0;
     token_count recalled = 0;
     for (auto const& move : plan.moves)
@@ -148,11 +151,11 @@
             continue;
         }
         given += move.tokens;
-        this->give(move.router, budget, move.tokens, longest_spread,
-                   [this, budget, move] {
-                       this->trade_of(budget).routers[move.router].free -=
-                           move.tokens;
-                   });
+        this->send_tokens(
+            move.router, budget, move.tokens, distribution_time_limit,
+            [this, budget, move] {
+                this->state_of(budget).routers[move.router].free -= move.tokens;
+            });
     }
     if (!plan.moves.empty())
     {
--- a/tests/gateway/exchange_fleet.cpp
+++ b/tests/gateway/exchange_fleet.cpp
@@ -20,11 +20,10 @@
 
 exchange_fleet::exchange_fleet(std::size_t routers,
                                std::map<budget_id, token_count> const& paid)
-    : routers(routers), left{paid}, paid{paid}, null{open("/dev/null",
-                                                          O_WRONLY |
-                                                              O_CLOEXEC)},
-      log{std::make_unique<decision_log>(this->loop.get_executor(), this->null,
-                                         "vm")}
+    : routers(routers), ungranted{paid}, paid{paid},
+      null_device{open("/dev/null", O_WRONLY | O_CLOEXEC)},
+      log{std::make_unique<decision_log>(this->loop.get_executor(),
+                                         this->null_device, "vm")}
 {
     for (std::size_t i = 0; i < routers; ++i)
     {
@@ -45,7 +44,7 @@
     {
         auto const& one = this->routers[i];
         all[one.address] = {"vm-" + std::to_string(i) + "-" +
-                            std::to_string(one.life)};
+                            std::to_string(one.incarnation_number)};
     }
     return all;
 }
@@ -63,13 +62,13 @@
         [this, router](std::string const& to, std::string const& bytes)
         { this->send(router, to, bytes); },
         *this->log);
-    one.exchange->note_routers(all, this->now);
+    one.exchange->set_peers(all, this->now);
 }
 
 void exchange_fleet::restart(std::size_t router)
 {
     auto& one = this->routers[router];
-    one.life += 1;
+    one.incarnation_number += 1;
     one.shares.clear();
     this->start(router);
 }
@@ -77,7 +76,7 @@
 exchange_fleet::~exchange_fleet()
 {
     this->log.reset();
-    close(this->null);
+    close(this->null_device);
 }
 
 share_access exchange_fleet::access_of(std::size_t router)
@@ -95,7 +94,7 @@
         view.lacking = std::max<token_count>(0, of.lacking - of.free);
         view.spent = of.spent;
         view.paid = this->paid.at(budget);
-        view.ungranted = this->left.at(budget);
+        view.ungranted = this->ungranted.at(budget);
         view.mean_request = mean_request;
         return view;
     };
@@ -127,19 +126,20 @@
         waiting_take const one{router, budget, tokens, this->now + wait, done};
         if (!this->take_now(one))
         {
-            this->takes.push_back(one);
+            this->waiting_takes.push_back(one);
         }
     };
     access.put = [share](budget_id const& budget, token_count tokens)
     {
         share(budget).free += tokens;
     };
-    access.refuse = [share](budget_id const& budget, duration retry_after)
+    access.reject = [share](budget_id const& budget, duration retry_after)
     {
-        share(budget).refused = retry_after;
+        share(budget).rejected = retry_after;
         share(budget).lacking = 0;
     };
-    access.hold = [share](budget_id const& budget, token_count target)
+    access.set_pool_target =
+        [share](budget_id const& budget, token_count target)
     {
         share(budget).target = target;
     };
@@ -153,7 +153,7 @@
 bool exchange_fleet::take_now(waiting_take const& one)
 {
     auto& of = this->routers[one.router].shares[one.budget];
-    auto& row = this->left.at(one.budget);
+    auto& row = this->ungranted.at(one.budget);
     auto const drawn = std::clamp<token_count>(one.tokens - of.free, 0, row);
     of.free += drawn;
     row -= drawn;
@@ -166,9 +166,9 @@
     return true;
 }
 
-void exchange_fleet::settle_takes()
+void exchange_fleet::settle_waiting_takes()
 {
-    for (auto const& one : std::exchange(this->takes, {}))
+    for (auto const& one : std::exchange(this->waiting_takes, {}))
     {
         if (this->take_now(one))
         {
@@ -179,7 +179,7 @@
             one.done(false);
             continue;
         }
-        this->takes.push_back(one);
+        this->waiting_takes.push_back(one);
     }
 }
 
@@ -189,21 +189,21 @@
     auto& sender = this->routers[from];
     sender.sent += 1;
     sender.bytes += bytes.size();
-    this->count += 1;
-    auto const lost =
-        this->loses_each > 0 && this->count % this->loses_each == 0;
+    this->datagram_count += 1;
+    auto const lost = this->loss_interval > 0 &&
+                      this->datagram_count % this->loss_interval == 0;
     if (!lost)
     {
-        this->wire.push_back({this->now + one_way, from, to, bytes});
+        this->datagrams.push_back({this->now + one_way, from, to, bytes});
     }
 }
 
 void exchange_fleet::deliver_due()
 {
-    while (!this->wire.empty() && this->wire.front().due <= this->now)
+    while (!this->datagrams.empty() && this->datagrams.front().due <= this->now)
     {
-        auto const got = std::move(this->wire.front());
-        this->wire.pop_front();
+        auto const got = std::move(this->datagrams.front());
+        this->datagrams.pop_front();
         auto const to = this->by_address.at(got.to);
         if (!this->cut.contains(got.from) && !this->cut.contains(to))
         {
@@ -219,7 +219,7 @@
     {
         this->now = this->now + duration{1};
         this->deliver_due();
-        this->settle_takes();
+        this->settle_waiting_takes();
         if (this->now.ms % tick.ms != 0)
         {
             continue;
@@ -231,18 +231,18 @@
     }
 }
 
-bool exchange_fleet::ask(std::size_t router, budget_id const& budget,
-                         token_count tokens, duration wait)
+bool exchange_fleet::request(std::size_t router, budget_id const& budget,
+                             token_count tokens, duration wait)
 {
     auto& of = this->routers[router].shares[budget];
     auto& exchange = *this->routers[router].exchange;
     of.lacking = tokens;
-    of.refused.reset();
-    exchange.note_request(budget, this->now);
-    exchange.want(budget, this->now);
+    of.rejected.reset();
+    exchange.count_request(budget, this->now);
+    exchange.request_tokens(budget, this->now);
     for (std::int64_t ms = 0; ms < wait.ms; ++ms)
     {
-        if (of.refused)
+        if (of.rejected)
         {
             return false;
         }
--- a/tests/gateway/exchange_fleet.hpp
+++ b/tests/gateway/exchange_fleet.hpp
@@ -18,13 +18,13 @@
 namespace caperpath::gateway
 {
 
-/// Many routers' token exchanges over shares in memory and a network in
-/// simulated time. What a router may take out of its share it may take at once.
-/// Test code; not thread safe.
+/// Token exchanges of many routers, with shares in memory and a network in
+/// simulated time. Tokens may be taken from a share without a spend limit. Test
+/// code; not thread safe.
 class exchange_fleet
 {
 public:
-    /// What a router has of each budget, and what its callers wait for.
+    /// A router's share of a budget, and what its callers wait for.
     struct share_of_router
     {
         token_count free{};
@@ -32,7 +32,7 @@
         token_count spent{};
         token_count target{};
         bool draws_alone{false};
-        std::optional<duration> refused;
+        std::optional<duration> rejected;
     };
 
     struct router
@@ -40,7 +40,7 @@
         std::string address;
         std::map<budget_id, share_of_router> shares;
         std::unique_ptr<token_exchange> exchange;
-        int life{1};
+        int incarnation_number{1};
         std::size_t sent{}; ///< datagrams
         std::size_t bytes{};
     };
@@ -49,28 +49,28 @@
                    std::map<budget_id, token_count> const& paid);
     ~exchange_fleet();
 
-    /// Time passes in steps of a tick, with all datagrams that fall due.
+    /// Advances time by `span` and delivers all datagrams that fall due.
     void run(duration span);
 
-    /// A caller waits for `tokens`; true once they are there, within `wait`.
-    bool ask(std::size_t router, budget_id const& budget, token_count tokens,
-             duration wait = duration{250});
+    /// A caller waits for `tokens`. Returns true if they arrive within `wait`.
+    bool request(std::size_t router, budget_id const& budget,
+                 token_count tokens, duration wait = duration{250});
 
-    /// Another process takes the router's place, with nothing in its share.
+    /// Replaces the router's process by a new one with an empty share.
     void restart(std::size_t router);
 
-    /// The index of the budget's first coordinator.
+    /// Returns the index of the budget's first coordinator.
     std::size_t coordinator(budget_id const& budget);
 
-    /// Datagrams of these routers are lost from now on.
+    /// Routers whose datagrams are lost, in both directions.
     std::set<std::size_t> cut;
 
-    /// Each n-th datagram is lost; 0: none.
-    std::size_t loses_each{};
+    /// Every n-th datagram is lost; 0: none.
+    std::size_t loss_interval{};
 
     std::vector<router> routers;
-    /// In the budget rows.
-    std::map<budget_id, token_count> left;
+    /// Ungranted tokens in the budget rows.
+    std::map<budget_id, token_count> ungranted;
     std::map<budget_id, token_count> paid;
     instant now{1'000'000};
 
@@ -83,7 +83,7 @@
         std::string bytes;
     };
 
-    /// Tokens for another router that are not there yet.
+    /// A transfer that waits for tokens.
     struct waiting_take
     {
         std::size_t router{};
@@ -97,18 +97,18 @@
     void start(std::size_t router);
     share_access access_of(std::size_t router);
     bool take_now(waiting_take const& one);
-    void settle_takes();
+    void settle_waiting_takes();
     void send(std::size_t from, std::string const& to,
               std::string const& bytes);
     void deliver_due();
 
     boost::asio::io_context loop;
-    int null;
+    int null_device;
     std::unique_ptr<decision_log> log;
-    std::deque<datagram> wire;
-    std::vector<waiting_take> takes;
+    std::deque<datagram> datagrams;
+    std::vector<waiting_take> waiting_takes;
     std::map<std::string, std::size_t> by_address;
-    std::size_t count{};
+    std::size_t datagram_count{};
 };
 
 } // namespace caperpath::gateway
--- a/tests/gateway/spend_keeper_test.cpp
+++ b/tests/gateway/spend_keeper_test.cpp
@@ -14,21 +14,22 @@
 class spend_keeper_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(spend_keeper_test);
-    CPPUNIT_TEST(a_store_that_refuses_at_once_is_not_asked_without_pause);
-    CPPUNIT_TEST(what_the_line_will_cover_is_known_ahead);
+    CPPUNIT_TEST(an_immediate_rejection_is_retried_after_a_pause);
+    CPPUNIT_TEST(the_limit_at_a_later_time_is_known);
     CPPUNIT_TEST_SUITE_END();
 
-    using answer = std::function<void(store::commit_result)>;
+    using commit_reply = std::function<void(store::commit_result)>;
     inline static budget_id const taller{"taller"};
 
-    /// A keeper whose writes wait for the test to answer them.
-    struct world
+    /// A spend row writer whose store writes wait for the test to complete
+    /// them.
+    struct writer_fixture
     {
         boost::asio::io_context loop;
-        int null{open("/dev/null", O_WRONLY | O_CLOEXEC)};
-        decision_log log{loop.get_executor(), null, "vm-1"};
-        std::vector<answer> writes;
-        spend_keeper keeper{loop.get_executor(),
+        int null_device{open("/dev/null", O_WRONLY | O_CLOEXEC)};
+        decision_log log{loop.get_executor(), null_device, "vm-1"};
+        std::vector<commit_reply> writes;
+        spend_keeper writer{loop.get_executor(),
                             port(),
                             "vm-1",
                             "10.0.0.1:80",
@@ -43,15 +44,15 @@
                              }},
                             log};
 
-        world()
+        writer_fixture()
         {
-            this->keeper.start();
-            this->answer_last(store::commit_outcome::applied);
-            this->answer_last(store::commit_outcome::applied);
+            this->writer.start();
+            this->complete_last(store::commit_outcome::applied);
+            this->complete_last(store::commit_outcome::applied);
         }
-        ~world()
+        ~writer_fixture()
         {
-            close(this->null);
+            close(this->null_device);
         }
 
         store::async_port port()
@@ -62,14 +63,15 @@
             {
                 done(store::row{key, 0, ""});
             };
-            made.commit = [this](store::transaction const&, answer const& done)
+            made.commit =
+                [this](store::transaction const&, commit_reply const& done)
             {
                 this->writes.push_back(done);
             };
             return made;
         }
 
-        void answer_last(store::commit_outcome outcome)
+        void complete_last(store::commit_outcome outcome)
         {
             auto const done = this->writes.back();
             store::commit_result result;
@@ -80,36 +82,37 @@
         }
     };
 
-    // The store refuses every write at once while callers wait for a higher
-    // line. Each of them asked for another write, 25 in a second at one router,
-    // which kept the store busy for all.
-    void a_store_that_refuses_at_once_is_not_asked_without_pause()
+    // Guards against writing again for each caller that waits for a higher
+    // spend limit. When the store rejected every write at once, one router
+    // sent 25 writes a second, which kept the store busy for all.
+    void an_immediate_rejection_is_retried_after_a_pause()
     {
-        world here;
-        here.keeper.hurry();
-        auto const before = here.writes.size();
-        here.answer_last(store::commit_outcome::refused);
+        writer_fixture fixture;
+        fixture.writer.write_soon();
+        auto const before = fixture.writes.size();
+        fixture.complete_last(store::commit_outcome::refused);
         for (int i = 0; i < 25; ++i)
         {
-            here.keeper.hurry();
+            fixture.writer.write_soon();
         }
-        // The pause ends on the loop, which does not run here.
-        CPPUNIT_ASSERT_EQUAL(before, here.writes.size());
+        // The retry interval ends on the loop, which does not run in this test.
+        CPPUNIT_ASSERT_EQUAL(before, fixture.writes.size());
     }
 
-    // The store is cut off. A request that the share covers and its line will
-    // not reach in the longest wait was held for all of it and refused then.
-    void what_the_line_will_cover_is_known_ahead()
+    // Guards against holding a request for the longest wait while the store is
+    // cut off, if the share covers it but the spend limit cannot reach it in
+    // that time.
+    void the_limit_at_a_later_time_is_known()
     {
-        world here;
+        writer_fixture fixture;
         auto const now = caperpath::clock::monotonic().now();
         auto const later = now + budget::flat_for + duration{300};
-        auto const most = here.keeper.limit(taller, {90'000, 0}, later);
-        CPPUNIT_ASSERT(most >= 300);
-        CPPUNIT_ASSERT(most < 90'000);
+        auto const limit = fixture.writer.limit(taller, {90'000, 0}, later);
+        CPPUNIT_ASSERT(limit >= 300);
+        CPPUNIT_ASSERT(limit < 90'000);
         CPPUNIT_ASSERT_EQUAL(
             token_count{90'000},
-            here.keeper.limit(taller, {90'000, 0}, now + duration{100'000}));
+            fixture.writer.limit(taller, {90'000, 0}, now + duration{100'000}));
     }
 };
 
