--- a/src/gateway/budget_book.hpp
+++ b/src/gateway/budget_book.hpp
@@ -42,7 +42,8 @@
             send,
         decision_log& log);
 
-    /// Starts reading and writing rows. @pre the router's own address is bound.
+    /// Starts reading and writing rows; call once. @pre the own address is
+    /// bound.
     void start();
 
     /// Applies a configuration: opens accounts for its budgets and raises paid
@@ -129,7 +130,7 @@
 
         /// The mean request size weighted by tokens: the size of the request
         /// that an average token belongs to.
-        double large_request() const;
+        double token_weighted_request() const;
 
         /// Raises the paid amount of the last read row to the configured one: a
         /// top-up is in the configuration, so that it needs no write of the
--- a/src/gateway/budget_deal.cpp
+++ b/src/gateway/budget_deal.cpp
@@ -215,7 +215,7 @@
     }
 }
 
-double budget_book::account::large_request() const
+double budget_book::account::token_weighted_request() const
 {
     return this->mean_request > 0
                ? this->mean_squared_request / this->mean_request
@@ -243,7 +243,7 @@
     {
         one.need = budget::need_ahead(
                        std::max(0.0, share.rate.per_second), need_horizon,
-                       static_cast<token_count>(of.large_request())) +
+                       static_cast<token_count>(of.token_weighted_request())) +
                    budget::waiting_tokens(share);
     }
     return one;
--- a/src/gateway/budget_lines.cpp
+++ b/src/gateway/budget_lines.cpp
@@ -31,7 +31,7 @@
 constexpr double frequent_requests = 2;
 /// In a large fleet, the initial headroom is at most this part of the free
 /// tokens.
-constexpr double most_open_part = 0.5;
+constexpr double most_headroom_part = 0.5;
 
 } // namespace
 
@@ -96,12 +96,13 @@
     // if each limit covered one request, a crash of all routers would lose most
     // of a budget.
     auto const free = static_cast<double>(budget::free_tokens(of.share));
-    auto const here =
+    auto const recent =
         this->exchange.recent_requests(of.share.budget, this->now.now());
-    auto const open = initial_headroom_requests * this->typical_request(of) *
-                      std::min(1.0, here / frequent_requests);
-    return std::min(traffic * initial_headroom_seconds + open,
-                    free * most_open_part);
+    auto const request_headroom = initial_headroom_requests *
+                                  this->typical_request(of) *
+                                  std::min(1.0, recent / frequent_requests);
+    return std::min(traffic * initial_headroom_seconds + request_headroom,
+                    free * most_headroom_part);
 }
 
 /// Returns the growth of the limit per second on top of the traffic. In a large
@@ -112,7 +113,7 @@
 {
     if (!this->is_large_fleet())
     {
-        return of.large_request();
+        return of.token_weighted_request();
     }
     auto const free = static_cast<double>(budget::free_tokens(of.share));
     return std::min(free / free_spread_seconds,
--- a/src/gateway/budget_peers.cpp
+++ b/src/gateway/budget_peers.cpp
@@ -204,10 +204,10 @@
         share.draws = true;
         return;
     }
-    auto const gives =
+    auto const has_transfers =
         std::any_of(share.waiting.begin(), share.waiting.end(),
                     [](auto const& one) { return one.is_transfer; });
-    share.draws = gives || at < of.draws_alone_until ||
+    share.draws = has_transfers || at < of.draws_alone_until ||
                   this->exchange.is_coordinator(share.budget);
 }
 
--- a/src/gateway/spend_keeper.hpp
+++ b/src/gateway/spend_keeper.hpp
@@ -56,8 +56,8 @@
                  incarnation_id self, spend_listener listener,
                  decision_log& log);
 
-    /// Starts reading and writing. @pre this router's address is bound, which
-    /// proves that the previous router at it is dead.
+    /// Starts reading and writing; call once. @pre the own address is bound,
+    /// which proves that the previous router at it is dead.
     void start();
 
     /// Writes the row as soon as possible: a reservation waits for a higher
--- a/tests/gateway/exchange_fleet.cpp
+++ b/tests/gateway/exchange_fleet.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr duration tick{40};
-constexpr duration one_way{1};
+constexpr duration tick_interval{40};
+constexpr duration one_way_delay{1};
 constexpr double mean_request = 3'000;
 
 } // namespace
@@ -194,7 +194,7 @@
                       this->datagram_count % this->loss_interval == 0;
     if (!lost)
     {
-        this->datagrams.push_back({this->now + one_way, from, to, bytes});
+        this->datagrams.push_back({this->now + one_way_delay, from, to, bytes});
     }
 }
 
@@ -220,7 +220,7 @@
         this->now = this->now + duration{1};
         this->deliver_due();
         this->settle_waiting_takes();
-        if (this->now.ms % tick.ms != 0)
+        if (this->now.ms % tick_interval.ms != 0)
         {
             continue;
         }
