--- a/src/gateway/token_service.cpp
+++ b/src/gateway/token_service.cpp
@@ -12,8 +12,9 @@
 namespace
 {
 
-/// Time limits of a draw, a spend limit raise and a transfer, for a token
-/// request and for a recall.
+/// A coordinator draws, raises its spend limit and recalls tokens within the
+/// first limit. A router that gets a recall takes the tokens out of its share
+/// within the second.
 constexpr duration request_time_limit{80};
 constexpr duration recall_time_limit{200};
 /// While tokens are plentiful, a router that runs out gets more than it lacks,
