--- a/include/caperpath/base/call_patience.hpp
+++ b/include/caperpath/base/call_patience.hpp
@@ -3,33 +3,34 @@
 
 #include <caperpath/base/clock.hpp>
 
-/// How long to wait for the answer to a short call, from the answers of late.
+/// Computes the timeout of a short call from recent response times.
 ///
-/// A store that answers soon and loses an answer would be waited for as long as
-/// one that is slow answers late, and meanwhile a router knows neither what it
-/// wrote nor may spend more. So the wait follows what answers
-/// take, and doubles with each call that none came to, so that a store which
-/// has become slow is soon waited for long enough.
+/// With a fixed timeout, long enough for a slow store, a router would wait that
+/// long for each lost response of a fast one; until then it does not know
+/// whether its write took effect and may not spend more. The timeout therefore
+/// follows the response times, and doubles with each call without a response so
+/// that it soon suffices for a store that has become slow.
 namespace caperpath
 {
 
 /// Value type.
 struct call_patience
 {
-    double usual_ms{10}; ///< smoothed time of the answers of late
-    int unanswered{};    ///< in a row
+    double usual_ms{10}; ///< smoothed recent response time
+    int unanswered{};    ///< consecutive calls without a response
 
     friend bool operator==(call_patience const&,
                            call_patience const&) = default;
 };
 
-/// Thread safe. Between a fixed shortest wait and `longest`.
+/// The timeout of the next call: at least 200 ms, at most `longest`. Thread
+/// safe.
 duration wait_for_answer(call_patience const& of, duration longest);
 
-/// Thread safe. An answer took `took`.
+/// The state after a response that took `took`. Thread safe.
 call_patience answered(call_patience of, duration took);
 
-/// Thread safe. No answer came in time.
+/// The state after a call without a response in time. Thread safe.
 call_patience unanswered(call_patience of);
 
 } // namespace caperpath
--- a/include/caperpath/base/clock.hpp
+++ b/include/caperpath/base/clock.hpp
@@ -55,8 +55,8 @@
     return {later.ms - earlier.ms};
 }
 
-/// The only source of time in the project. The pure core never holds one: it
-/// takes an `instant` as an argument. Copyable; thread safe when the wrapped
+/// The only source of time in the project. The pure core never holds a clock;
+/// it takes an `instant` as an argument. Copyable; thread safe if the wrapped
 /// function is.
 class clock
 {
@@ -70,11 +70,11 @@
     /// Monotonic time of this machine, for deadlines and intervals.
     static clock monotonic();
 
-    /// As `monotonic`, and it goes on while the machine is suspended: for what
-    /// others may have done meanwhile.
+    /// Like `monotonic`, but includes time in suspend: for deadlines that
+    /// depend on other machines.
     static clock boot();
 
-    /// Milliseconds since the Unix epoch, for records that others read.
+    /// Milliseconds since the Unix epoch, for records that other programs read.
     static clock wall();
 
 private:
--- a/include/caperpath/base/error.hpp
+++ b/include/caperpath/base/error.hpp
@@ -12,25 +12,26 @@
 namespace caperpath
 {
 
-/// What kind of failure it was; callers branch on this, people read the rest.
+/// The kind of a failure. Code branches on this; the other fields are for
+/// people.
 enum class error_kind
 {
-    invalid,     ///< the input is wrong; a repeat fails the same way
+    invalid,     ///< the input is wrong; a retry fails the same way
     not_found,   ///< the named thing does not exist
-    conflict,    ///< somebody else changed it first
-    refused,     ///< the peer understood and said no; nothing took effect
+    conflict,    ///< a concurrent change came first
+    refused,     ///< the peer rejected the request; nothing took effect
     unavailable, ///< the peer could not be reached; nothing took effect
-    timeout,     ///< no answer in time; the effect is unknown
+    timeout,     ///< no response in time; the effect is unknown
     internal     ///< a fault of this program
 };
 
-/// An error with the step and the peer at which it arose. Immutable value.
+/// An error with the step and the peer at which it occurred. Immutable value.
 struct error
 {
     error_kind kind{error_kind::internal};
     std::string step;   ///< for example "draw" or "parse settings"
     std::string peer;   ///< address or name of the other side, empty if none
-    std::string detail; ///< a sentence for a person
+    std::string detail; ///< a sentence for people
 
     friend bool operator==(error const&, error const&) = default;
 };
@@ -39,10 +40,10 @@
 template <class T>
 using result = boost::leaf::result<T>;
 
-/// Thread safe. The lower-case name of a kind, as it stands in logs.
+/// The lower-case name of a kind, as written to logs. Thread safe.
 std::string_view to_string(error_kind kind);
 
-/// Thread safe. One line: "step=draw peer=10.0.0.1:900 kind=timeout detail".
+/// One line: "step=draw peer=10.0.0.1:900 kind=timeout detail". Thread safe.
 std::string to_string(error const& fault);
 
 /// Raises `fault` as the error of the enclosing `result`. Thread safe.
@@ -51,9 +52,9 @@
     return boost::leaf::new_error(std::move(fault));
 }
 
-/// Calls `f`, which returns `result<T>`, and gives its value or the error as a
-/// plain variant that can be stored, compared or sent to another thread.
-/// Thread safe. An exception out of `f` is not caught.
+/// Calls `f`, which returns `result<T>`, and returns its value or the error as
+/// a variant that can be stored, compared or passed to another thread. Does not
+/// catch exceptions from `f`. Thread safe.
 template <class F>
 auto value_or_error(F&& f)
 {
--- a/include/caperpath/base/http_status.hpp
+++ b/include/caperpath/base/http_status.hpp
@@ -18,8 +18,8 @@
 inline constexpr int http_unavailable = 503;
 inline constexpr int http_gateway_timeout = 504;
 
-/// The first status of its class: below `http_server_error` and from
-/// `http_client_error` on, the request is at fault.
+/// The first status of each class. From `http_client_error` up to, but not
+/// including, `http_server_error` the request is at fault.
 inline constexpr int http_client_error = 400;
 inline constexpr int http_server_error = 500;
 
--- a/include/caperpath/base/id.hpp
+++ b/include/caperpath/base/id.hpp
@@ -10,7 +10,7 @@
 namespace caperpath
 {
 
-/// A name that cannot be mixed up with a name of another kind. Immutable value.
+/// A name that cannot be confused with one of another kind. Immutable value.
 template <class Tag>
 struct basic_id
 {
@@ -26,11 +26,11 @@
 using backend_server_id = basic_id<struct backend_server_tag>;
 using failure_domain_id = basic_id<struct failure_domain_tag>;
 using request_id = basic_id<struct request_tag>;
-/// The place that a router runs at; its lives follow one another there.
+/// The place where a router runs; its incarnations follow one another there.
 using vm_id = basic_id<struct vm_tag>;
 
-/// One life of one VM: a replaced VM at the same address gets a new value, so
-/// that nothing written for the old one is taken for the new one.
+/// One incarnation of a VM. A replacement at the same address gets a new value,
+/// so that data written for the old one is never applied to the new one.
 using incarnation_id = basic_id<struct incarnation_tag>;
 
 /// Prepaid tokens; always a whole number, never negative in a valid state.
--- a/include/caperpath/fleet/attempt.hpp
+++ b/include/caperpath/fleet/attempt.hpp
@@ -6,51 +6,53 @@
 
 #include <cstdint>
 
-/// What follows from the way one attempt at a server ended. Pure functions.
+/// Decides what follows from the result of one attempt at a server. Pure
+/// functions.
 namespace caperpath::fleet
 {
 
 /// How an attempt ended.
 enum class attempt_end
 {
-    answered,     ///< a whole answer of a success or of the request's own fault
-    failed,       ///< the server answered that its run failed
-    not_reached,  ///< no connection was made: nothing was sent
-    not_run,      ///< the server says that it did not run the request
-    wrong_server, ///< another server has the address; it did not run it
-    in_doubt,     ///< sent, and no whole answer: it may have run
-    expired,      ///< its time is over
-    caller_gone   ///< the caller has left
+    answered,     ///< complete response: success, or an error of the request
+    failed,       ///< the server responded that its run failed
+    not_reached,  ///< no connection: nothing was sent
+    not_run,      ///< the server reports that it did not run the request
+    wrong_server, ///< another server has the address and did not run it
+    in_doubt,     ///< sent without a complete response: it may have run
+    expired,      ///< the deadline of the request has passed
+    caller_gone   ///< the caller has disconnected
 };
 
-/// Where a request stands. Immutable value.
+/// The progress of a request. Immutable value.
 struct attempt_state
 {
     request_kind kind{request_kind::non_idempotent};
     bool resumable{false};
-    std::int64_t runs{0};        ///< servers that ran it or may have run it
-    std::int64_t max_servers{1}; ///< how many may
-    std::int64_t sends{0};       ///< attempts of any result so far
+    std::int64_t runs{0};        ///< servers that ran or may have run it
+    std::int64_t max_servers{1}; ///< the most servers that may run it
+    std::int64_t sends{0};       ///< attempts so far, of any result
 
     friend bool operator==(attempt_state const&,
                            attempt_state const&) = default;
 };
 
-/// The most attempts of any result. Each one that did not run costs a round
-/// trip of the caller's time; after this many the servers are in a state where
-/// waiting serves better.
-inline constexpr std::int64_t most_sends = 4;
+/// The most attempts of any result. Each attempt that did not run costs the
+/// caller a round trip; after this many the servers are in a state in which the
+/// caller had better wait.
+inline constexpr std::int64_t max_sends = 4;
 
-/// True when the request may run more than once.
+/// True if the request may run more than once.
 bool may_run_again(attempt_state const& state);
 
-/// True when the request may be sent to another server after `end`. Thread
-/// safe. The limit on repeats of the whole fleet is the caller's to ask.
+/// True if the request may be sent to another server after `end`. The calling
+/// code must also check the fleet's retry limit. Thread safe.
 bool may_send_again(attempt_state const& state, attempt_end end);
 
-/// The status of the final answer to a request that nobody answered.
-/// A status that says "not run" only when no server can have run it: a caller
-/// told so sends it again, and an order would be placed twice. Thread safe.
+/// The HTTP status of the final response to a request without a response from a
+/// server. It says "not run" (503) only if no server can have run the request:
+/// the caller then retries, and an order that did run would be placed twice.
+/// Thread safe.
 int final_status(attempt_state const& state, attempt_end end);
 
 } // namespace caperpath::fleet
--- a/include/caperpath/fleet/event_scan.hpp
+++ b/include/caperpath/fleet/event_scan.hpp
@@ -8,32 +8,32 @@
 namespace caperpath::fleet
 {
 
-/// Cuts the bytes of an event stream into whole events. A server may stop in
-/// the middle of an event; passed on, its first half would be joined with the
-/// whole one that another server sends, and the caller would read a mixed
-/// event. So only whole events are passed on. Not thread safe.
+/// Splits the bytes of an event stream into complete events. A server may stop
+/// in the middle of an event; if the first half were forwarded, the caller
+/// would join it with the complete event that another server sends. Only
+/// complete events are therefore forwarded. Not thread safe.
 class event_scan
 {
 public:
-    /// Takes the next bytes and returns those of the events that are whole now,
+    /// Adds `bytes` and returns the bytes of the events that are now complete,
     /// unchanged and in order.
     std::string feed(std::string_view bytes);
 
-    /// What was left of an event without its end; empties it.
+    /// Removes and returns the bytes of the incomplete event.
     std::string take_rest();
 
-    /// The id of the last whole event; empty if none had one.
+    /// The latest id in a complete event; empty if none had one.
     std::string const& last_id() const;
 
-    /// Whole events so far that carried data.
+    /// The number of complete events with data so far.
     std::int64_t events() const;
 
 private:
-    void note(std::string_view event);
+    void parse_event(std::string_view event);
 
     std::string pending;
     std::string id;
-    std::int64_t count{};
+    std::int64_t data_events{};
 };
 
 } // namespace caperpath::fleet
--- a/include/caperpath/fleet/fingerprint.hpp
+++ b/include/caperpath/fleet/fingerprint.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-/// What tells a request that comes again from another one.
+/// Identifies a request that a caller sends again.
 namespace caperpath::fleet
 {
 
@@ -22,12 +22,13 @@
     friend auto operator<=>(fingerprint const&, fingerprint const&) = default;
 };
 
-/// What a caller sends again when it repeats a request. The id of the attempt
-/// is not part of it.
+/// The parts of a request that stay the same in a retry. The id of the attempt
+/// is not one of them.
 struct request_content
 {
-    /// Whose request it is; of callers without a customer the key, if any. Part
-    /// of the fingerprint, so that nobody can have another's request refused.
+    /// The customer, or the key, if any, of a caller without a customer. Part
+    /// of the fingerprint, so that one caller cannot cause the rejection of
+    /// another's requests.
     std::string_view caller;
     std::string_view method;
     std::string_view host;
@@ -38,7 +39,8 @@
 /// Thread safe. Time linear in the size of the body.
 fingerprint fingerprint_of(request_content const& content);
 
-/// 32 hexadecimal digits, and back; nothing if it is no such text. Thread safe.
+/// Conversion to 32 hexadecimal digits and back; `read_fingerprint` returns
+/// empty for any other text. Thread safe.
 std::string to_string(fingerprint const& of);
 std::optional<fingerprint> read_fingerprint(std::string_view text);
 
--- a/include/caperpath/fleet/own_link.hpp
+++ b/include/caperpath/fleet/own_link.hpp
@@ -5,61 +5,63 @@
 
 #include <cstdint>
 
-/// Whether a router's own link still carries what the router needs. Neither the
-/// store nor the servers tell by themselves: either may be down. A link that
-/// callers fill fails both at once, and the router then works on an old
-/// configuration while others could serve its callers. Plain values; every
-/// function takes the time.
+/// Detects that a router's own network link is saturated. A silent store or
+/// silent servers alone prove nothing, since either may be down. A link that
+/// callers saturate fails both at once; the router then works with an old
+/// configuration while other routers could serve its callers. Plain values;
+/// functions that depend on time take it as an argument.
 namespace caperpath::fleet
 {
 
-/// How servers answered in one stretch of time.
-struct server_answers
+/// Results of connects to servers in one window of time.
+struct connect_results
 {
     std::int64_t answered{};
-    std::int64_t silent{}; ///< connects that nothing came back to in time
+    std::int64_t silent{}; ///< connects without a response in time
 
-    friend bool operator==(server_answers const&,
-                           server_answers const&) = default;
+    friend bool operator==(connect_results const&,
+                           connect_results const&) = default;
 };
 
 /// Value type.
 struct own_link
 {
-    duration unconfirmed_for{}; ///< since the store told the configuration
-    instant looked{-1'000'000};
-    instant stretch_began{};
-    server_answers current;
-    server_answers previous;
-    instant rests_until{-1'000'000};
+    duration unconfirmed_for{}; ///< since the store confirmed the configuration
+    instant updated_at{-1'000'000};
+    instant window_began{};
+    connect_results current;
+    connect_results previous;
+    instant shedding_until{-1'000'000};
 
     friend bool operator==(own_link const&, own_link const&) = default;
 };
 
-/// The store has answered what the newest configuration is. Thread safe.
+/// Records that the store confirmed the newest configuration. Thread safe.
 own_link confirmed(own_link of);
 
-/// A server answered, or nothing came back to a connect. Thread safe.
+/// Records whether a server responded to a connect. Thread safe.
 own_link server_tried(own_link of, bool answered, instant now);
 
-/// Takes the passage of time into account. Longer pauses between calls than
-/// `longest_look` are those of a process that did not run, and say nothing of
-/// its link. Thread safe.
+/// Advances the state to `now`. Only `max_update_gap` of a longer gap between
+/// calls counts: the process did not run in it, which says nothing about the
+/// link. Thread safe.
 own_link looked_at(own_link of, instant now);
 
-/// True while new callers should go to other routers: the configuration is not
-/// confirmed and most servers are silent, or were shortly before. Thread safe.
+/// True if new callers should go to other routers: the configuration is not
+/// confirmed and most connects get no response, now or within `shedding_time`.
+/// Thread safe.
 bool sheds_callers(own_link const& of, instant now);
 
-/// Twice the time in which a follower of the configuration hears from the store
-/// when nothing changes, within the time for it to come into force.
-inline constexpr duration configuration_is_old{1'200};
+/// Twice the interval at which the store responds to a follower of an unchanged
+/// configuration, and less than the time a configuration takes to come into
+/// force.
+inline constexpr duration max_configuration_age{1'200};
 
-inline constexpr duration longest_look{200};
+inline constexpr duration max_update_gap{200};
 
-/// A load balancer takes about two seconds to notice. Callers who came back
-/// earlier would find the link as they left it.
-inline constexpr duration link_rest{4'000};
+/// A load balancer takes about two seconds to react. Callers that returned
+/// earlier would find the link still saturated.
+inline constexpr duration shedding_time{4'000};
 
 } // namespace caperpath::fleet
 
--- a/include/caperpath/fleet/readiness.hpp
+++ b/include/caperpath/fleet/readiness.hpp
@@ -3,26 +3,27 @@
 
 #include <caperpath/base/clock.hpp>
 
-/// When a router that starts may be given callers. Pure.
+/// Decides when a starting router may be given callers. Pure.
 namespace caperpath::fleet
 {
 
-/// What a router that starts has learned so far. Immutable value.
+/// What a starting router has received so far. Immutable value.
 struct start_progress
 {
     bool knows_a_budget{false};
     bool has_shares{false}; ///< of every budget
-    /// It has read which requests crash servers.
+    /// It has read the crash record.
     bool knows_crashes{false};
     bool store_reachable{true};
-    duration since_configuration{}; ///< since the first one was known
+    duration since_configuration{}; ///< since the first one was read
 
     friend bool operator==(start_progress const&,
                            start_progress const&) = default;
 };
 
-/// True if callers may come. What is missing for long does not keep a router
-/// out of rotation: a fleet that starts would serve nobody. Thread safe.
+/// True if the router may be given callers. Shares and crash records that stay
+/// missing do not keep a router out of rotation, since a starting fleet would
+/// otherwise serve nobody. Thread safe.
 bool may_take_callers(start_progress const& so_far);
 
 } // namespace caperpath::fleet
--- a/include/caperpath/fleet/retry_window.hpp
+++ b/include/caperpath/fleet/retry_window.hpp
@@ -9,14 +9,13 @@
 #include <map>
 #include <vector>
 
-/// Limits how often requests are sent again, for all routers together and
-/// without a message between them.
+/// Limits the retries of all routers together, without messages between them.
 namespace caperpath::fleet
 {
 
 /// The fleet's limit: in any `window` a service gets at most `ratio` x its
-/// requests + `slack` sends beyond the first of each request. The requests are
-/// those of that window or of the one before it, whichever are more.
+/// requests + `slack` retries. The requests are those of that window or of the
+/// one before it, whichever are more.
 struct retry_limit
 {
     double ratio{0.2};
@@ -26,54 +25,55 @@
     friend bool operator==(retry_limit const&, retry_limit const&) = default;
 };
 
-/// How one router used its part of the limit for a service.
+/// How much of its part of the limit one router used for a service.
 struct repeat_use
 {
     service_id service;
     std::int64_t requests{}; ///< in the window and the one before it
     std::int64_t repeats{};  ///< in the window
-    std::int64_t denied{};   ///< since the last report
+    std::int64_t denied{};   ///< rejected retries since the last report
 
     friend bool operator==(repeat_use const&, repeat_use const&) = default;
 };
 
-/// The first sends and the repeats of one router. When a server fails, each of
-/// its requests is sent again; without a limit the repeats alone keep the
-/// others overloaded, and one sees arrivals rise while answers fall.
+/// Counts the requests and the retries of one router. When a server fails, all
+/// of its requests are retried; without a limit the retries alone would keep
+/// the other servers overloaded.
 ///
-/// In any window a router repeats at most half the ratio x its own requests of
-/// that window and the one before it, and its part of the slack. Requests and
-/// parts of all routers add up, so the sum keeps the limit whoever starts or
-/// dies. The instants are of a clock that goes on while the machine is
-/// suspended. Not thread safe.
+/// In any window a router sends at most half the ratio x its own requests of
+/// that window and the one before it, plus its part of the retry allowance, as
+/// retries. Requests and parts of all routers add up, so the sum stays within
+/// the limit when routers start or die. Instants are of a clock that includes
+/// time in suspend. Not thread safe.
 class retry_window
 {
 public:
     explicit retry_window(retry_limit limit);
 
-    /// A request came for `service`.
+    /// Counts a request for `service`.
     void note_request(service_id const& service, instant now);
 
-    /// Takes one repeat out, if it is allowed. `sharers` is the number of
-    /// routers that divide the slack; 0 when none of it is this router's.
+    /// Counts one retry if it is allowed; returns whether it is. `sharers` is
+    /// the number of routers that divide the retry allowance; 0 if this router
+    /// may use none of it.
     bool take(service_id const& service, std::int64_t sharers, instant now);
 
-    /// True when a repeat is left now; one that is not counts as denied.
+    /// True if a retry is allowed now; otherwise counts a rejected retry.
     bool allows(service_id const& service, std::int64_t sharers, instant now);
 
-    /// How many repeats are left now, at least 0.
+    /// The number of retries allowed now, at least 0.
     std::int64_t left(service_id const& service, std::int64_t sharers,
                       instant now);
 
-    /// The services with a repeat in the window or one denied since the last
-    /// report; begins to count the denied anew.
+    /// The services with a retry in the window or a rejected one since the last
+    /// report; resets the counts of rejected retries.
     std::vector<repeat_use> report(instant now);
 
 private:
     struct counts
     {
-        std::deque<instant> requests; ///< of two windows
-        std::deque<instant> repeats;  ///< of one
+        std::deque<instant> requests; ///< of the last two windows
+        std::deque<instant> repeats;  ///< retries of the last window
         std::int64_t denied{};
     };
 
--- a/include/caperpath/fleet/roster.hpp
+++ b/include/caperpath/fleet/roster.hpp
@@ -9,7 +9,8 @@
 #include <string>
 #include <vector>
 
-/// Which routers are alive, as their heartbeat rows in the store show. Pure.
+/// Fleet membership: the live routers, from their heartbeat rows in the store.
+/// Pure.
 namespace caperpath::fleet
 {
 
@@ -17,14 +18,14 @@
 struct heartbeat
 {
     incarnation_id router;
-    std::string address;     ///< "IP:port" for messages of other routers
-    std::uint64_t version{}; ///< of the row; it changes with each heartbeat
+    std::string address;     ///< "IP:port" for messages from other routers
+    std::uint64_t version{}; ///< of the row; changes with each heartbeat
 
     friend bool operator==(heartbeat const&, heartbeat const&) = default;
 };
 
-/// When a call to the store was sent and when its answer came: what it tells
-/// was true at some moment between. Immutable value.
+/// When a call to the store was sent and when its response was received. The
+/// response was true at some moment between the two. Immutable value.
 struct call_times
 {
     instant sent{};
@@ -33,75 +34,76 @@
     friend bool operator==(call_times const&, call_times const&) = default;
 };
 
-/// What is known of one router.
+/// One router, as its heartbeat row shows it.
 struct member
 {
     std::string address;
     std::uint64_t version{};
-    instant changed_at{};  ///< answer of the first read with this version
-    instant observed_at{}; ///< the same, in the roster's observed time
+    instant changed_at{};  ///< end of the first read with this version
+    instant observed_at{}; ///< the same, in `roster::observed` time
 
     friend bool operator==(member const&, member const&) = default;
 };
 
-/// The heartbeat rows as the latest read showed them.
+/// The routers in the latest read of the heartbeat rows.
 struct roster
 {
     std::map<incarnation_id, member> members;
-    /// Routers whose rows a read no longer showed, and when its answer came.
+    /// Routers missing from a read, with the time the read ended.
     std::map<incarnation_id, instant> removed;
-    /// Advances with successful reads only. A lifetime that runs on the clock
-    /// ends while the store is away, since nobody's renewal can be read: every
-    /// router would count the others as dead at once.
+    /// Observed time: advances with successful reads only. A lifetime on the
+    /// clock would expire during an outage of the store, when no renewal can
+    /// be read, and every router would count the others as dead.
     instant observed{};
-    call_times read; ///< the latest read; 0 before it
+    call_times read; ///< the latest read; 0 before the first
 
     friend bool operator==(roster const&, roster const&) = default;
 };
 
 inline constexpr duration heartbeat_interval{4'000};
-/// Three heartbeats may be missed: the store is away for seconds at times.
+/// Tolerates three missed heartbeats, since the store can be unavailable for
+/// seconds.
 inline constexpr duration member_lifetime{14'000};
-/// Reading n rows each time costs every router n rows: the pause grows with
-/// their number, so that the bytes a second do not.
+/// Each read transfers all n rows, so the interval grows with n to keep the
+/// bytes per second constant.
 inline constexpr duration read_pause_per_member{50};
-/// Rows of dead routers are removed after this; a paused router that wakes up
-/// writes its row anew.
+/// Rows of dead routers are removed after this time; a paused router that
+/// resumes writes its row again.
 inline constexpr duration row_lifetime{60'000};
 
-/// When a router that starts writes its first heartbeat. The rows of a fleet
-/// stand in one partition, which takes one write after the other: of hundreds
-/// that start and write together many would not be answered in time, and not be
-/// counted as alive. Thread safe.
+/// Delay of a starting router's first heartbeat. All rows are in one partition,
+/// which serialises writes: if hundreds of routers wrote at the same time, many
+/// writes would time out and their routers would not be counted as alive.
+/// Thread safe.
 duration first_heartbeat_after(incarnation_id const& self);
 
-/// Takes in all heartbeat rows of one read. A row counts as alive by its
-/// change, seen with this router's clock, since the clocks of others jump. A
-/// pause in which reads failed counts as one heartbeat: renewals may have
-/// failed in it as well. Thread safe.
+/// The state after one read of all heartbeat rows. The age of a row counts from
+/// its last change on this router's clock, since other routers' clocks may
+/// jump. A gap in which reads failed counts as one heartbeat, since renewals
+/// may have failed as well. Thread safe.
 roster seen(roster known, std::vector<heartbeat> const& rows,
             call_times const& read);
 
-/// Routers that were alive by the latest read, this one included; at least 1.
-/// Thread safe.
+/// The number of routers alive at the latest read, this one included; at least
+/// 1. Thread safe.
 std::int64_t alive(roster const& known);
 
-/// The VMs of these: a router that took the place of a dead one counts once.
-/// Thread safe.
+/// The number of VMs with a live router; routers at the same address count
+/// once. At least 1. Thread safe.
 std::int64_t alive_vms(roster const& known);
 
-/// The live routers by the address for messages: of two at one address, the
-/// one that was seen to change last. Thread safe.
+/// The live routers by their address for messages. Of two at one address, the
+/// one whose row changed last. Thread safe.
 std::map<std::string, incarnation_id> live_routers(roster const& known);
 
-/// Routers whose rows `self` removes: each dead one is left to the live router
-/// that comes next by its id. Were each to remove them all, a fleet that was
-/// restarted would send the square of its number in writes at one moment, and
-/// the store would refuse other calls. Thread safe.
+/// The dead routers whose rows `self` removes: those for which `self` is the
+/// next live router by id. If every router removed all of them, a restarted
+/// fleet of n routers would send n x n writes at once, and the store would
+/// reject other calls. Thread safe.
 std::vector<incarnation_id> dead(roster const& known,
                                  incarnation_id const& self);
 
-/// The time to the next read of all rows. Thread safe.
+/// The interval between two reads of all rows. Thread safe.
 duration read_interval(roster const& known);
 
 } // namespace caperpath::fleet
--- a/include/caperpath/fleet/service_times.hpp
+++ b/include/caperpath/fleet/service_times.hpp
@@ -9,12 +9,12 @@
 #include <optional>
 #include <string>
 
-/// How long requests of a route take, from what was observed lately.
+/// Service times of each route, from recent observations.
 namespace caperpath::fleet
 {
 
-/// Counts by duration in buckets of a constant ratio; older observations count
-/// less. Immutable value.
+/// Weighted counts of durations in buckets of a constant ratio; the weight of
+/// an observation decays with its age. Immutable value.
 struct time_histogram
 {
     static constexpr std::size_t bucket_count = 72;
@@ -26,36 +26,36 @@
                            time_histogram const&) = default;
 };
 
-/// `before` with one more request that took `took`. Thread safe.
+/// Returns `before` with an added observation of `took`. Thread safe.
 time_histogram observed(time_histogram before, duration took, instant now);
 
-/// A duration that the part `quantile` (0 to 1) of the requests did not exceed,
-/// up to a quarter more; nothing without an observation. Thread safe.
+/// The `quantile` (0 to 1) of the durations, overestimated by a quarter at
+/// most; empty without observations. Thread safe.
 std::optional<duration> quantile_of(time_histogram const& times,
                                     double quantile);
 
-/// The histograms of all routes that served a request lately. Bounded: the
-/// route that was not seen for longest makes room. Not thread safe.
+/// The histograms of the routes that recently served a request. Bounded: evicts
+/// the route with the oldest latest observation. Not thread safe.
 class service_times
 {
 public:
-    /// A request of `route` was served in `took`.
+    /// Records that a request of `route` was served in `took`.
     void note(std::string const& route, duration took, instant now);
 
-    /// How long all but a few requests of `route` take; nothing if none was
-    /// seen.
+    /// The 99th percentile of the service times of `route`; empty if none was
+    /// recorded.
     std::optional<duration> usual_longest(std::string const& route) const;
 
 private:
-    struct seen
+    struct route_times
     {
         time_histogram times;
-        instant last{};
+        instant last_observed{};
     };
 
-    void make_room();
+    void evict_oldest();
 
-    std::map<std::string, seen> routes;
+    std::map<std::string, route_times> routes;
 };
 
 } // namespace caperpath::fleet
--- a/include/caperpath/fleet/site.hpp
+++ b/include/caperpath/fleet/site.hpp
@@ -12,20 +12,20 @@
 #include <unordered_map>
 #include <vector>
 
-/// What one version of the operators' configuration says: routes, services,
-/// customers and limits, as immutable values without any wire format.
+/// One version of the operators' configuration: routes, services, customers and
+/// limits, as immutable values independent of the wire format.
 namespace caperpath::fleet
 {
 
-/// What may be done with a request beyond sending it once.
+/// How often a request may run.
 enum class request_kind
 {
     idempotent,     ///< may run more than once
     non_idempotent, ///< may run at most once for each attempt of the caller
-    streaming       ///< an answer of events; as non-idempotent unless resumable
+    streaming       ///< an event stream; non-idempotent unless resumable
 };
 
-/// A service and its part of a route's requests.
+/// A service with its weight among those of a route.
 struct weighted_service
 {
     service_id service;
@@ -35,7 +35,7 @@
                            weighted_service const&) = default;
 };
 
-/// Which requests go to which services, and what their callers may expect.
+/// Maps requests to services, with their limits and latency goals.
 struct route
 {
     std::string name;
@@ -43,43 +43,43 @@
     std::string prefix; ///< begins and ends with "/"
     request_kind kind{request_kind::non_idempotent};
     std::vector<weighted_service> services;
-    duration timeout{};          ///< the longest that a request is kept
-    duration answer_goal{};      ///< to the (first part of the) answer
+    duration timeout{};          ///< the longest time that a request is kept
+    duration answer_goal{};      ///< to the response or its first part
     duration gap_goal{};         ///< between two events of a stream
     std::int64_t max_servers{1}; ///< how many servers may run one attempt
     std::int64_t priority{};     ///< 0 is the most urgent
     bool needs_key{true};
     bool has_prompt{false}; ///< requests carry tokens and prompt parts
-    bool resumable{false};  ///< a broken stream may go on at another server
+    bool resumable{false};  ///< a broken stream may resume at another server
 
     friend bool operator==(route const&, route const&) = default;
 };
 
-/// A kind of backend server. The zeros stand for a plain service.
+/// A kind of backend server. In a plain service the numbers are 0.
 struct service
 {
     service_id id;
     std::string health_path;
     std::int64_t max_connections{};
-    std::int64_t batch_slots{};     ///< requests that one engine runs at once
+    std::int64_t batch_slots{};     ///< concurrent requests of one engine
     token_count memory_tokens{};    ///< of one engine
-    token_count tokens_per_event{}; ///< the most that one event holds
+    token_count tokens_per_event{}; ///< the most tokens in one event
 
     friend bool operator==(service const&, service const&) = default;
 };
 
-/// Who pays, with what was paid so far.
+/// A paying customer, with the tokens paid for so far.
 struct customer
 {
     customer_id id;
-    std::optional<std::int64_t> priority; ///< goes before the route's
+    std::optional<std::int64_t> priority; ///< overrides the route's priority
     std::optional<token_count> paid;      ///< no budget if empty
     std::vector<std::string> keys;
 
     friend bool operator==(customer const&, customer const&) = default;
 };
 
-/// What a caller may send and how long it may take.
+/// Size and time limits of a caller's requests.
 struct caller_limits
 {
     std::size_t header_bytes{16'384};
@@ -91,7 +91,7 @@
                            caller_limits const&) = default;
 };
 
-/// The parts of a configuration before it is indexed.
+/// The contents of a configuration before it is indexed.
 struct site_parts
 {
     std::uint64_t version{};
@@ -103,7 +103,7 @@
     friend bool operator==(site_parts const&, site_parts const&) = default;
 };
 
-/// One version of the configuration, ready for look-ups. Immutable; its
+/// One version of the configuration, indexed for look-ups. Immutable; its
 /// functions are thread safe and cost a hash look-up and a short scan.
 class site
 {
@@ -116,10 +116,10 @@
     std::vector<customer> const& customers() const;
 
     /// The route of `host` (with or without a port, in any case) with the
-    /// longest prefix that begins `path`; null if there is none.
+    /// longest prefix of `path`; null if there is none.
     route const* find_route(std::string_view host, std::string_view path) const;
 
-    /// The customer that holds `key`; null if nobody does.
+    /// The customer with `key`; null if there is none.
     customer const* find_customer(std::string_view key) const;
 
     /// Null if no service has this name.
@@ -136,8 +136,8 @@
     std::unordered_map<std::string, std::size_t> customer_of_key;
 };
 
-/// The service for one request, drawn by weight; `draw` is any number that is
-/// spread evenly, and the same number gives the same service. Thread safe.
+/// Selects the service for one request by weight. `draw` is a uniformly
+/// distributed number; the same number gives the same service. Thread safe.
 /// @pre `from.services` is not empty.
 service_id const& choose_service(route const& from, std::uint64_t draw);
 
--- a/src/base/call_patience.cpp
+++ b/src/base/call_patience.cpp
@@ -8,25 +8,25 @@
 namespace
 {
 
-constexpr duration shortest{200};
-/// Single answers take several times as long as the mean.
-constexpr double spread = 8;
-constexpr double weight = 0.2;
-constexpr int most_doublings = 4;
+constexpr duration min_timeout{200};
+/// Single responses take several times as long as the mean.
+constexpr double mean_multiple = 8;
+constexpr double newest_weight = 0.2;
+constexpr int max_doublings = 4;
 
 } // namespace
 
 duration wait_for_answer(call_patience const& of, duration longest)
 {
-    auto const doublings = std::min(of.unanswered, most_doublings);
-    auto const usual = static_cast<std::int64_t>(of.usual_ms * spread);
-    auto const wait = std::max(shortest.ms, usual) << doublings;
+    auto const doublings = std::min(of.unanswered, max_doublings);
+    auto const usual = static_cast<std::int64_t>(of.usual_ms * mean_multiple);
+    auto const wait = std::max(min_timeout.ms, usual) << doublings;
     return {std::min(longest.ms, wait)};
 }
 
 call_patience answered(call_patience of, duration took)
 {
-    of.usual_ms += weight * (static_cast<double>(took.ms) - of.usual_ms);
+    of.usual_ms += newest_weight * (static_cast<double>(took.ms) - of.usual_ms);
     of.unanswered = 0;
     return of;
 }
--- a/src/base/follow_pace.cpp
+++ b/src/base/follow_pace.cpp
@@ -8,28 +8,27 @@
 namespace
 {
 
-constexpr int most_doublings = 2;
-constexpr int failures_to_read_anew = 2;
-constexpr std::int64_t first_pause_ms = 50;
-constexpr std::int64_t longest_pause_ms = 400;
-constexpr int most_pause_doublings = 3;
+constexpr int max_timeout_doublings = 2;
+constexpr int failures_to_full_read = 2;
+constexpr std::int64_t first_delay_ms = 50;
+constexpr std::int64_t max_delay_ms = 400;
+constexpr int max_delay_doublings = 3;
 
 } // namespace
 
 duration answer_limit(duration usual, int failures)
 {
-    return {usual.ms << std::clamp(failures, 0, most_doublings)};
+    return {usual.ms << std::clamp(failures, 0, max_timeout_doublings)};
 }
 
 duration retry_pause(int failures, std::size_t salt)
 {
-    auto const doublings = std::clamp(failures - 1, 0, most_pause_doublings);
-    auto const longest =
-        std::min(longest_pause_ms, first_pause_ms << doublings);
-    // The first retry may come at once, the later ones after half the pause.
-    auto const least = failures > 1 ? longest / 2 : 0;
-    auto const spread = static_cast<std::size_t>(longest - least);
-    return {least + static_cast<std::int64_t>(salt % spread)};
+    auto const doublings = std::clamp(failures - 1, 0, max_delay_doublings);
+    auto const longest = std::min(max_delay_ms, first_delay_ms << doublings);
+    // The first retry may follow at once, later ones after half the delay.
+    auto const shortest = failures > 1 ? longest / 2 : 0;
+    auto const spread = static_cast<std::size_t>(longest - shortest);
+    return {shortest + static_cast<std::int64_t>(salt % spread)};
 }
 
 duration next_hold(duration last, duration longest)
@@ -39,7 +38,7 @@
 
 bool reads_anew(int failures)
 {
-    return failures >= failures_to_read_anew;
+    return failures >= failures_to_full_read;
 }
 
 } // namespace caperpath
--- a/src/fleet/attempt.cpp
+++ b/src/fleet/attempt.cpp
@@ -20,7 +20,7 @@
 
 bool may_send_again(attempt_state const& state, attempt_end end)
 {
-    if (state.sends >= most_sends)
+    if (state.sends >= max_sends)
     {
         return false;
     }
--- a/src/fleet/crash_record.cpp
+++ b/src/fleet/crash_record.cpp
@@ -14,7 +14,8 @@
                                                             : suspicion_time;
 }
 
-/// The entry that is missed least: of the fewest crashes the oldest.
+/// If the record is full, evicts the oldest of the entries with the fewest
+/// crashes.
 void make_room(crash_record& in)
 {
     if (in.entries.size() < most_crash_entries)
@@ -56,7 +57,7 @@
 }
 
 bool merge_evidence(crash_record& in, fingerprint const& request,
-                    crash_evidence const& told, instant now)
+                    crash_evidence const& reported, instant now)
 {
     auto found = in.entries.find(request);
     if (found == in.entries.end())
@@ -64,20 +65,20 @@
         make_room(in);
         found = in.entries.emplace(request, crash_entry{}).first;
     }
-    else if (told <= found->second.evidence)
+    else if (reported <= found->second.evidence)
     {
         return false;
     }
-    found->second = {told, now};
+    found->second = {reported, now};
     return true;
 }
 
 crash_evidence note_crash(crash_record& in, fingerprint const& request,
                           crash_evidence const& known, instant now)
 {
-    auto told = known;
-    told.crashes = std::min(told.crashes + 1, crashes_to_quarantine);
-    merge_evidence(in, request, told, now);
+    auto updated = known;
+    updated.crashes = std::min(updated.crashes + 1, crashes_to_quarantine);
+    merge_evidence(in, request, updated, now);
     return evidence_of(in, request);
 }
 
@@ -90,19 +91,19 @@
 
 std::vector<fingerprint> forget_old(crash_record& in, instant now)
 {
-    std::vector<fingerprint> gone;
+    std::vector<fingerprint> expired;
     for (auto const& [request, entry] : in.entries)
     {
         if (now - entry.noted_at >= lifetime(entry))
         {
-            gone.push_back(request);
+            expired.push_back(request);
         }
     }
-    for (auto const& request : gone)
+    for (auto const& request : expired)
     {
         in.entries.erase(request);
     }
-    return gone;
+    return expired;
 }
 
 duration quarantine_left(crash_record const& in, fingerprint const& request,
--- a/src/fleet/event_scan.cpp
+++ b/src/fleet/event_scan.cpp
@@ -35,20 +35,21 @@
 
 std::string event_scan::feed(std::string_view bytes)
 {
-    // An end may span the old and the new bytes by its first three.
-    constexpr std::size_t longest_end = 3;
+    // The end of an event may begin in the last three old bytes.
+    constexpr std::size_t max_end_overlap = 3;
     auto const seen = this->pending.size();
-    auto from = seen - std::min(seen, longest_end);
+    auto from = seen - std::min(seen, max_end_overlap);
     this->pending += bytes;
-    std::size_t whole = 0;
+    std::size_t complete = 0;
     for (auto end = event_end(this->pending, from);
          end != std::string_view::npos; end = event_end(this->pending, end))
     {
-        this->note(std::string_view{this->pending}.substr(whole, end - whole));
-        whole = end;
+        this->parse_event(
+            std::string_view{this->pending}.substr(complete, end - complete));
+        complete = end;
     }
-    auto events = this->pending.substr(0, whole);
-    this->pending.erase(0, whole);
+    auto events = this->pending.substr(0, complete);
+    this->pending.erase(0, complete);
     return events;
 }
 
@@ -64,10 +65,10 @@
 
 std::int64_t event_scan::events() const
 {
-    return this->count;
+    return this->data_events;
 }
 
-void event_scan::note(std::string_view event)
+void event_scan::parse_event(std::string_view event)
 {
     auto has_data = false;
     while (!event.empty())
@@ -86,7 +87,7 @@
             this->id = line.starts_with(' ') ? line.substr(1) : line;
         }
     }
-    this->count += has_data ? 1 : 0;
+    this->data_events += has_data ? 1 : 0;
 }
 
 } // namespace caperpath::fleet
--- a/src/fleet/fingerprint.cpp
+++ b/src/fleet/fingerprint.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-constexpr std::size_t half_digits = 16;
-constexpr int hexadecimal = 16;
+constexpr std::size_t digits_per_half = 16;
+constexpr int hex_base = 16;
 
 using digest_context = std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)>;
 
-/// With its length before it, so that no two contents have the same bytes.
+/// Hashes `part` after its length, so that no two contents give the same bytes.
 void add(digest_context const& to, std::string_view part)
 {
     std::uint64_t const size = part.size();
@@ -26,7 +26,7 @@
     EVP_DigestUpdate(to.get(), part.data(), part.size());
 }
 
-std::uint64_t number_at(unsigned char const* bytes)
+std::uint64_t read_big_endian(unsigned char const* bytes)
 {
     std::uint64_t number = 0;
     for (std::size_t i = 0; i < sizeof number; ++i)
@@ -37,28 +37,28 @@
     return number;
 }
 
-std::string digits_of(std::uint64_t number)
+std::string to_hex(std::uint64_t number)
 {
-    std::array<char, half_digits> text{};
+    std::array<char, digits_per_half> text{};
     text.fill('0');
-    std::array<char, half_digits> found{};
+    std::array<char, digits_per_half> found{};
     auto const end = std::to_chars(found.data(), found.data() + found.size(),
-                                   number, hexadecimal)
+                                   number, hex_base)
                          .ptr;
     auto const size = static_cast<std::size_t>(end - found.data());
     for (std::size_t i = 0; i < size; ++i)
     {
-        text[half_digits - size + i] = found[i];
+        text[digits_per_half - size + i] = found[i];
     }
     return {text.data(), text.size()};
 }
 
-std::optional<std::uint64_t> number_of(std::string_view digits)
+std::optional<std::uint64_t> parse_hex(std::string_view digits)
 {
     std::uint64_t number{};
     auto const* const end = digits.data() + digits.size();
     auto const [stop, fault] =
-        std::from_chars(digits.data(), end, number, hexadecimal);
+        std::from_chars(digits.data(), end, number, hex_base);
     return fault == std::errc{} && stop == end ? std::optional{number}
                                                : std::nullopt;
 }
@@ -76,23 +76,23 @@
     add(context, content.body);
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
     EVP_DigestFinal_ex(context.get(), digest.data(), nullptr);
-    return {number_at(digest.data()),
-            number_at(digest.data() + sizeof(std::uint64_t))};
+    return {read_big_endian(digest.data()),
+            read_big_endian(digest.data() + sizeof(std::uint64_t))};
 }
 
 std::string to_string(fingerprint const& of)
 {
-    return digits_of(of.high) + digits_of(of.low);
+    return to_hex(of.high) + to_hex(of.low);
 }
 
 std::optional<fingerprint> read_fingerprint(std::string_view text)
 {
-    if (text.size() != 2 * half_digits)
+    if (text.size() != 2 * digits_per_half)
     {
         return std::nullopt;
     }
-    auto const high = number_of(text.substr(0, half_digits));
-    auto const low = number_of(text.substr(half_digits));
+    auto const high = parse_hex(text.substr(0, digits_per_half));
+    auto const low = parse_hex(text.substr(digits_per_half));
     if (!high || !low)
     {
         return std::nullopt;
--- a/src/fleet/own_link.cpp
+++ b/src/fleet/own_link.cpp
@@ -8,30 +8,30 @@
 namespace
 {
 
-constexpr duration stretch{500};
+constexpr duration window{500};
 
-/// Fewer may be the fault of one server.
-constexpr std::int64_t least_silent = 8;
+/// A single failed server can cause fewer.
+constexpr std::int64_t min_silent = 8;
 
-own_link in_stretch(own_link of, instant now)
+own_link in_current_window(own_link of, instant now)
 {
-    auto const age = now - of.stretch_began;
-    if (age < stretch)
+    auto const age = now - of.window_began;
+    if (age < window)
     {
         return of;
     }
-    of.previous = age < stretch + stretch ? of.current : server_answers{};
+    of.previous = age < window + window ? of.current : connect_results{};
     of.current = {};
-    of.stretch_began = now;
+    of.window_began = now;
     return of;
 }
 
-bool is_failing(own_link const& of)
+bool is_saturated(own_link const& of)
 {
     auto const silent = of.current.silent + of.previous.silent;
     auto const answered = of.current.answered + of.previous.answered;
-    return of.unconfirmed_for > configuration_is_old &&
-           silent >= least_silent && silent > answered;
+    return of.unconfirmed_for > max_configuration_age && silent >= min_silent &&
+           silent > answered;
 }
 
 } // namespace
@@ -44,27 +44,27 @@
 
 own_link server_tried(own_link of, bool answered, instant now)
 {
-    of = in_stretch(of, now);
+    of = in_current_window(of, now);
     (answered ? of.current.answered : of.current.silent) += 1;
     return of;
 }
 
 own_link looked_at(own_link of, instant now)
 {
-    of = in_stretch(of, now);
+    of = in_current_window(of, now);
     of.unconfirmed_for =
-        of.unconfirmed_for + std::min(now - of.looked, longest_look);
-    of.looked = now;
-    if (is_failing(of))
+        of.unconfirmed_for + std::min(now - of.updated_at, max_update_gap);
+    of.updated_at = now;
+    if (is_saturated(of))
     {
-        of.rests_until = now + link_rest;
+        of.shedding_until = now + shedding_time;
     }
     return of;
 }
 
 bool sheds_callers(own_link const& of, instant now)
 {
-    return now < of.rests_until;
+    return now < of.shedding_until;
 }
 
 } // namespace caperpath::fleet
--- a/src/fleet/placement.cpp
+++ b/src/fleet/placement.cpp
@@ -11,15 +11,14 @@
 namespace
 {
 
-/// A part that nobody asked for in this time may have yielded its memory.
-constexpr duration part_kept_for{20'000};
-/// Charge for each place in a part's order of servers. It has to stay below
-/// what reading a small shared part again costs and above nothing, so that
+/// A server may have evicted a prefix that was not used for this long.
+constexpr duration prefix_retention{20'000};
+/// Penalty for each rank in a prefix's order of servers. It must stay below the
+/// cost of a second prefill of a small shared prefix, and above 0 so that
 /// routers agree on the second choice.
-constexpr double ms_per_rank = 0.4;
-/// A load figure counts in full when new and not at all after
-/// `report_lifetime`.
-constexpr double reports_everything = 1.0;
+constexpr double rank_penalty_ms = 0.4;
+/// Weight of a new load report; it falls to 0 at the age `report_lifetime`.
+constexpr double full_report_weight = 1.0;
 constexpr std::int64_t hundred = 100;
 
 double age_weight(server const& one, instant now)
@@ -29,12 +28,12 @@
     {
         return 0.0;
     }
-    return reports_everything - static_cast<double>(age.ms) /
+    return full_report_weight - static_cast<double>(age.ms) /
                                     static_cast<double>(report_lifetime.ms);
 }
 
-/// Requests of all routers at the server: at least this router's own, and as
-/// many more as its own last figure shows.
+/// Estimated open requests of all routers at the server: those of this router,
+/// plus the excess in the server's latest load report, weighted by its age.
 double open_requests(server const& one, instant now)
 {
     auto const own = static_cast<double>(one.own.open);
@@ -43,8 +42,9 @@
     return own + age_weight(one, now) * std::max(0.0, seen - own);
 }
 
-double engine_ms(server const& one, service const& of, work const& item,
-                 bool holds_prefix, engine_speed const& speed, instant now)
+double expected_engine_ms(server const& one, service const& of,
+                          work const& item, bool holds_prefix,
+                          engine_speed const& speed, instant now)
 {
     auto const open = open_requests(one, now);
     auto const own = static_cast<double>(one.own.open);
@@ -61,7 +61,7 @@
     auto const slots = static_cast<double>(
         of.batch_slots > 0 ? of.batch_slots : one.entry.slots);
     auto const beyond_slots = std::max(0.0, open + 1 - slots);
-    // With its memory full an engine has to preempt somebody.
+    // An engine with full memory preempts a running request.
     auto const beyond_memory =
         of.memory_tokens > 0
             ? std::max(0.0, need - static_cast<double>(of.memory_tokens))
@@ -71,14 +71,15 @@
            beyond_slots * speed.queued_request_ms;
 }
 
-double plain_ms(server const& one, engine_speed const& speed, instant now)
+double expected_plain_ms(server const& one, engine_speed const& speed,
+                         instant now)
 {
     auto const slots =
         static_cast<double>(std::max<std::int64_t>(1, one.entry.slots));
     auto const open = open_requests(one, now);
     auto const rounds = std::max(0.0, open + 1 - slots) / slots;
-    // Engines slow down a little as they fill, so the emptier one is better
-    // also while both have places free.
+    // Servers slow down a little as they fill, so prefer the emptier of two
+    // servers that both have free slots.
     return speed.plain_request_ms * (1.0 + rounds) + open / slots;
 }
 
@@ -116,21 +117,21 @@
     return found;
 }
 
-std::int64_t percent_taken(std::vector<candidate> const& all, service const& of,
-                           instant now)
+std::int64_t percent_of_slots_taken(std::vector<candidate> const& all,
+                                    service const& of, instant now)
 {
     double taken = 0;
-    double places = 0;
+    double total_slots = 0;
     for (auto const& each : all)
     {
         auto const slots =
             of.batch_slots > 0 ? of.batch_slots : each.one->entry.slots;
-        places += static_cast<double>(std::max<std::int64_t>(1, slots));
+        total_slots += static_cast<double>(std::max<std::int64_t>(1, slots));
         taken += open_requests(*each.one, now);
     }
-    return places > 0 ? static_cast<std::int64_t>(
-                            std::lround(taken * hundred / places))
-                      : 0;
+    return total_slots > 0 ? static_cast<std::int64_t>(
+                                 std::lround(taken * hundred / total_slots))
+                           : 0;
 }
 
 } // namespace
@@ -148,8 +149,9 @@
     }
     if (this->uses.size() >= this->capacity && !this->uses.contains(part))
     {
-        std::erase_if(this->uses, [now](auto const& entry)
-                      { return now - entry.second.back().at > part_kept_for; });
+        std::erase_if(
+            this->uses, [now](auto const& entry)
+            { return now - entry.second.back().at > prefix_retention; });
         if (this->uses.size() >= this->capacity)
         {
             this->uses.erase(this->uses.begin());
@@ -169,7 +171,7 @@
            std::any_of(found->second.begin(), found->second.end(),
                        [&](last_use const& use) {
                            return use.server == server &&
-                                  now - use.at <= part_kept_for;
+                                  now - use.at <= prefix_retention;
                        });
 }
 
@@ -187,9 +189,10 @@
 double expected_ms(server const& one, service const& of, work const& item,
                    bool holds_prefix, engine_speed const& speed, instant now)
 {
-    auto const base = of.memory_tokens > 0
-                          ? engine_ms(one, of, item, holds_prefix, speed, now)
-                          : plain_ms(one, speed, now);
+    auto const base =
+        of.memory_tokens > 0
+            ? expected_engine_ms(one, of, item, holds_prefix, speed, now)
+            : expected_plain_ms(one, speed, now);
     auto const warm = one.entry.warm_up_left > now - one.listed_at ? 2.0 : 1.0;
     return base * std::max(1.0, one.slowness) * warm;
 }
@@ -209,7 +212,7 @@
             item.shared_part != 0 &&
             (rank == 0 || memory.holds(one.entry.id, item.shared_part, now));
         auto const time = expected_ms(one, of, item, holds, speed, now);
-        auto const cost = time + ms_per_rank * static_cast<double>(rank);
+        auto const cost = time + rank_penalty_ms * static_cast<double>(rank);
         if (!best || cost < least)
         {
             least = cost;
@@ -221,7 +224,7 @@
     }
     if (best)
     {
-        best->fleet_percent = percent_taken(all, of, now);
+        best->fleet_percent = percent_of_slots_taken(all, of, now);
     }
     return best;
 }
--- a/src/fleet/retry_window.cpp
+++ b/src/fleet/retry_window.cpp
@@ -9,11 +9,12 @@
 namespace
 {
 
-/// Part of the limit that is used: a request counts for the fleet when it is
-/// sent, and here when it is read; a repeat there when it arrives.
-constexpr double used_part = 0.85;
-/// A window's requests are paid for by it and by the one before it.
-constexpr double windows_paying = 2;
+/// Part of the limit that routers use. The margin covers time differences: the
+/// fleet counts a request when it is sent and a retry when it arrives; a router
+/// counts a request when it is read.
+constexpr double usable_part = 0.85;
+/// A request counts towards the retries of its window and of the next one.
+constexpr double windows_per_request = 2;
 
 void drop_before(std::deque<instant>& all, instant oldest)
 {
@@ -32,11 +33,11 @@
 retry_window::counts& retry_window::current(service_id const& service,
                                             instant now)
 {
-    auto& found = this->services[service];
+    auto& service_counts = this->services[service];
     auto const window = this->limit.window;
-    drop_before(found.requests, now - window - window);
-    drop_before(found.repeats, now - window);
-    return found;
+    drop_before(service_counts.requests, now - window - window);
+    drop_before(service_counts.repeats, now - window);
+    return service_counts;
 }
 
 void retry_window::note_request(service_id const& service, instant now)
@@ -44,31 +45,35 @@
     this->current(service, now).requests.push_back(now);
 }
 
-/// Looks at the windows that begin with one of the repeats, and at the one that
-/// begins now: of all that hold the same repeats they have the fewest requests.
+/// Checks the windows that begin with one of the retries, and the one that
+/// begins now: of all windows with the same retries, these have the fewest
+/// requests.
 std::int64_t retry_window::left(service_id const& service, std::int64_t sharers,
                                 instant now)
 {
-    auto const& found = this->current(service, now);
+    auto const& service_counts = this->current(service, now);
     auto const slack =
         sharers > 0 ? this->limit.slack / static_cast<double>(sharers) : 0.0;
-    auto const left_from = [&](instant first, std::int64_t used)
+    auto const remaining_in_window =
+        [&](instant first, std::int64_t retries_in_window)
     {
-        auto const oldest =
-            std::lower_bound(found.requests.begin(), found.requests.end(),
-                             first - this->limit.window);
+        auto const oldest = std::lower_bound(service_counts.requests.begin(),
+                                             service_counts.requests.end(),
+                                             first - this->limit.window);
         auto const requests =
-            static_cast<double>(found.requests.end() - oldest);
+            static_cast<double>(service_counts.requests.end() - oldest);
         auto const allowed =
-            used_part * (this->limit.ratio / windows_paying * requests + slack);
-        return static_cast<std::int64_t>(std::floor(allowed)) - used;
+            usable_part *
+            (this->limit.ratio / windows_per_request * requests + slack);
+        return static_cast<std::int64_t>(std::floor(allowed)) -
+               retries_in_window;
     };
-    auto least = left_from(now, 0);
-    auto used = std::ssize(found.repeats);
-    for (auto const first : found.repeats)
+    auto least = remaining_in_window(now, 0);
+    auto retries_in_window = std::ssize(service_counts.repeats);
+    for (auto const first : service_counts.repeats)
     {
-        least = std::min(least, left_from(first, used));
-        used -= 1;
+        least = std::min(least, remaining_in_window(first, retries_in_window));
+        retries_in_window -= 1;
     }
     return std::max<std::int64_t>(0, least);
 }
@@ -100,14 +105,15 @@
     std::vector<repeat_use> all;
     for (auto const& [service, unused] : this->services)
     {
-        auto& found = this->current(service, now);
-        if (found.repeats.empty() && found.denied == 0)
+        auto& service_counts = this->current(service, now);
+        if (service_counts.repeats.empty() && service_counts.denied == 0)
         {
             continue;
         }
-        all.push_back({service, std::ssize(found.requests),
-                       std::ssize(found.repeats), found.denied});
-        found.denied = 0;
+        all.push_back({service, std::ssize(service_counts.requests),
+                       std::ssize(service_counts.repeats),
+                       service_counts.denied});
+        service_counts.denied = 0;
     }
     return all;
 }
--- a/src/fleet/roster.cpp
+++ b/src/fleet/roster.cpp
@@ -11,16 +11,16 @@
 namespace
 {
 
-/// Restarts at a moment double the rows: read less often still, the view would
-/// be too old to tell who shares the limit on repeats.
+/// A restart of all routers doubles the rows. With a longer interval the view
+/// would be too old to divide the retry allowance.
 constexpr duration longest_read_interval{20'000};
 
-/// Half of the time to the second read, which has to show all that started
+/// Half the time to the second read, which must show all routers that started
 /// together.
 constexpr std::uint64_t first_heartbeat_spread_ms = heartbeat_interval.ms / 2;
 
-/// A router that left is counted for a window after it, and a margin.
-constexpr duration removed_kept = row_lifetime + heartbeat_interval;
+/// A removed router still counts for one window and a margin.
+constexpr duration removed_retention = row_lifetime + heartbeat_interval;
 
 duration silent_for(roster const& known, member const& one)
 {
@@ -47,8 +47,8 @@
     return all;
 }
 
-/// The observed time between the latest read and the one answered at `now`.
-duration observed_pause(roster const& known, instant now)
+/// The observed time between the latest read and the one that ended at `now`.
+duration observed_interval(roster const& known, instant now)
 {
     if (known.read == call_times{})
     {
@@ -65,11 +65,11 @@
             call_times const& read)
 {
     roster next;
-    next.observed = known.observed + observed_pause(known, read.answered);
+    next.observed = known.observed + observed_interval(known, read.answered);
     next.read = read;
     next.removed = std::move(known.removed);
     std::erase_if(next.removed, [&](auto const& entry)
-                  { return read.answered - entry.second > removed_kept; });
+                  { return read.answered - entry.second > removed_retention; });
     for (auto const& row : rows)
     {
         auto const before = known.members.find(row.router);
@@ -114,8 +114,8 @@
 
 duration first_heartbeat_after(incarnation_id const& self)
 {
-    auto const drawn = stable_hash(self.value) % first_heartbeat_spread_ms;
-    return {static_cast<std::int64_t>(drawn)};
+    auto const delay_ms = stable_hash(self.value) % first_heartbeat_spread_ms;
+    return {static_cast<std::int64_t>(delay_ms)};
 }
 
 std::map<std::string, incarnation_id> live_routers(roster const& known)
--- a/src/fleet/server_table.cpp
+++ b/src/fleet/server_table.cpp
@@ -9,9 +9,10 @@
 namespace
 {
 
-constexpr double slowness_weight = 0.2;   ///< of the newest measurement
-constexpr double least_slowness = 0.5;    ///< a lucky answer proves little
-constexpr double greatest_slowness = 20.; ///< above it all are equally bad
+constexpr double slowness_weight = 0.2; ///< of the newest measurement
+constexpr double least_slowness =
+    0.5; ///< limits the effect of one fast response
+constexpr double greatest_slowness = 20.; ///< larger values make no difference
 constexpr double shortest_expected_ms = 10.;
 constexpr int most_doublings = 4;
 
@@ -21,12 +22,11 @@
 {
     auto const [found, added] = table.servers.try_emplace(entry.id);
     auto& one = found->second;
-    // The same id with another start time or address is another process; what
-    // was measured of the one before, its failures and its prompts in memory,
-    // says nothing of it.
-    auto const reborn = !added && (one.entry.born_ms != entry.born_ms ||
-                                   one.entry.address != entry.address);
-    if (added || reborn)
+    // The same id with another start time or address is another process; the
+    // failures and the cached prompts of the previous one do not apply to it.
+    auto const restarted = !added && (one.entry.born_ms != entry.born_ms ||
+                                      one.entry.address != entry.address);
+    if (added || restarted)
     {
         auto const own = one.own;
         one = server{};
@@ -35,7 +35,7 @@
     }
     one.entry = entry;
     one.gone_from.reset();
-    return added || reborn;
+    return added || restarted;
 }
 
 void unlist_server(server_table& table, backend_server_id const& id,
@@ -52,9 +52,9 @@
         one.gone_from = one.gone_from.value_or(now + entry_return_time);
         return;
     }
-    // Counted from the store's return and not from now: an entry that goes
-    // late in this time is as likely that of a server which leaves, and that
-    // may get no requests two seconds later.
+    // Counted from the store's return and not from now: an entry that is
+    // removed late in this time may be that of a draining server, which must
+    // get no requests two seconds later.
     auto const settled_at =
         table.store_back_at ? *table.store_back_at + entry_return_time : now;
     one.entry.leaving = one.entry.leaving || now >= settled_at;
@@ -129,11 +129,12 @@
     {
         return;
     }
-    auto const rounds = one.failures / failures_to_set_aside - 1;
-    auto const doublings = std::clamp<std::int64_t>(rounds, 0, most_doublings);
-    auto const pause =
+    auto const further_series = one.failures / failures_to_set_aside - 1;
+    auto const doublings =
+        std::clamp<std::int64_t>(further_series, 0, most_doublings);
+    auto const exclusion_ms =
         std::min(longest_set_aside.ms, first_set_aside.ms << doublings);
-    one.set_aside_until = now + duration{pause};
+    one.set_aside_until = now + duration{exclusion_ms};
 }
 
 void note_replaced(server& one, instant now)
--- a/src/fleet/service_times.cpp
+++ b/src/fleet/service_times.cpp
@@ -13,10 +13,10 @@
 
 constexpr double bucket_ratio = 1.2;
 constexpr duration half_life{30'000};
-/// Without any request for so many half-lives nothing counts any more.
-constexpr std::int64_t most_halvings = 64;
-constexpr std::size_t most_routes = 1'000;
-constexpr double usual_quantile = 0.99;
+/// After this many half-lives an observation has no weight.
+constexpr std::int64_t max_halvings = 64;
+constexpr std::size_t max_routes = 1'000;
+constexpr double high_quantile = 0.99;
 
 std::size_t bucket_of(duration took)
 {
@@ -26,7 +26,7 @@
                     time_histogram::bucket_count - 1);
 }
 
-duration upper_end(std::size_t bucket)
+duration upper_bound_of(std::size_t bucket)
 {
     return {static_cast<std::int64_t>(
         std::ceil(std::pow(bucket_ratio, static_cast<double>(bucket))))};
@@ -37,7 +37,7 @@
 time_histogram observed(time_histogram before, duration took, instant now)
 {
     auto const halvings = std::clamp<std::int64_t>(
-        (now - before.halved_at).ms / half_life.ms, 0, most_halvings);
+        (now - before.halved_at).ms / half_life.ms, 0, max_halvings);
     if (halvings > 0)
     {
         auto const factor = std::ldexp(1.0F, -static_cast<int>(halvings));
@@ -66,21 +66,21 @@
         below += weights.at(i);
         if (below >= quantile * total)
         {
-            return upper_end(i);
+            return upper_bound_of(i);
         }
     }
-    return upper_end(weights.size() - 1);
+    return upper_bound_of(weights.size() - 1);
 }
 
 void service_times::note(std::string const& route, duration took, instant now)
 {
-    if (this->routes.size() >= most_routes && !this->routes.contains(route))
+    if (this->routes.size() >= max_routes && !this->routes.contains(route))
     {
-        this->make_room();
+        this->evict_oldest();
     }
     auto& one = this->routes[route];
     one.times = observed(one.times, took, now);
-    one.last = now;
+    one.last_observed = now;
 }
 
 std::optional<duration>
@@ -91,15 +91,15 @@
     {
         return std::nullopt;
     }
-    return quantile_of(found->second.times, usual_quantile);
+    return quantile_of(found->second.times, high_quantile);
 }
 
-void service_times::make_room()
+void service_times::evict_oldest()
 {
-    auto const oldest =
-        std::min_element(this->routes.begin(), this->routes.end(),
-                         [](auto const& a, auto const& b)
-                         { return a.second.last < b.second.last; });
+    auto const oldest = std::min_element(
+        this->routes.begin(), this->routes.end(),
+        [](auto const& a, auto const& b)
+        { return a.second.last_observed < b.second.last_observed; });
     this->routes.erase(oldest);
 }
 
--- a/src/fleet/shutdown.cpp
+++ b/src/fleet/shutdown.cpp
@@ -8,25 +8,26 @@
 namespace
 {
 
-/// The balancer asks once a second and takes a router out after two misses.
-constexpr duration balancer_notices{3'000};
-/// For the process to end by itself before it is killed.
+/// The load balancer probes once a second and removes a router after two failed
+/// probes.
+constexpr duration balancer_removal_time{3'000};
+/// Time for the process to end by itself before it is killed.
 constexpr duration longest_exit{300};
-/// After the last answer: it reaches its caller, the tokens that its request
-/// did not use are given back, the log is written.
+/// Time after the last response: to transmit it to the caller, return the
+/// request's unused tokens and write the log.
 constexpr duration longest_settling{500};
-/// Giving shares back takes two round trips to the store.
+/// Returning shares takes two round trips to the store.
 constexpr duration longest_return{1'500};
-/// Parts of a grace time that is too short for the spans above.
-constexpr std::int64_t exit_part = 8;
-constexpr std::int64_t settling_part = 4;
-constexpr std::int64_t serving_part = 4;
-/// A loop that keeps up ran its timer twice within so many intervals.
-constexpr std::int64_t usual_intervals = 3;
+/// Divisors of a grace time that is too short for the spans above.
+constexpr std::int64_t exit_divisor = 8;
+constexpr std::int64_t settling_divisor = 4;
+constexpr std::int64_t rotation_divisor = 4;
+/// An event loop that keeps up runs its timer twice within this many intervals.
+constexpr std::int64_t max_timer_intervals = 3;
 
-duration part(duration span, std::int64_t parts)
+duration fraction_of(duration span, std::int64_t divisor)
 {
-    return {span.ms / parts};
+    return {span.ms / divisor};
 }
 
 } // namespace
@@ -34,19 +35,21 @@
 instant signal_time(instant before_last, instant now, duration interval)
 {
     // A signal and an overdue timer may be handled in any order, so the last
-    // time the timer ran can be later than the signal.
-    auto const is_behind = now - before_last > interval * usual_intervals;
+    // run of the timer may be later than the signal.
+    auto const is_behind = now - before_last > interval * max_timer_intervals;
     return is_behind ? before_last : now;
 }
 
 shutdown_schedule schedule_shutdown(instant began, duration grace)
 {
-    auto const exit = grace - std::min(longest_exit, part(grace, exit_part));
-    auto const answers =
-        exit - std::min(longest_settling, part(grace, settling_part));
+    auto const exit =
+        grace - std::min(longest_exit, fraction_of(grace, exit_divisor));
+    auto const responses =
+        exit - std::min(longest_settling, fraction_of(grace, settling_divisor));
     auto const rotation =
-        std::min(balancer_notices, answers - part(answers, serving_part));
-    return {began, began + rotation, began + answers, began + exit};
+        std::min(balancer_removal_time,
+                 responses - fraction_of(responses, rotation_divisor));
+    return {began, began + rotation, began + responses, began + exit};
 }
 
 bool may_begin(shutdown_schedule const& stop, instant now,
@@ -71,8 +74,8 @@
     {
         return false;
     }
-    // New connections may keep coming; those without a request are not owed an
-    // answer.
+    // New connections may keep arriving; those without a request need no
+    // response.
     auto const connections = left.connections && now < stop.answers_due;
     auto const shares =
         left.returning_since && now < *left.returning_since + longest_return;
--- a/src/fleet/slack_share.cpp
+++ b/src/fleet/slack_share.cpp
@@ -8,17 +8,17 @@
 namespace
 {
 
-/// A read that failed is tried again after a heartbeat.
-constexpr std::int64_t reads_in_view = 3;
+/// One read and two retries; a failed read is retried after a heartbeat.
+constexpr std::int64_t reads_per_view = 3;
 
-/// After so long without a heartbeat a router may have been counted out.
+/// How long other routers count a router after its last heartbeat.
 duration counted_for(duration window)
 {
     return lease_time + window + clock_margin;
 }
 
-bool may_use_slack(roster const& known, slack_lease const& own, duration window,
-                   std::int64_t sharers, instant now)
+bool may_use_allowance(roster const& known, slack_lease const& own,
+                       duration window, std::int64_t sharers, instant now)
 {
     if (!own.held_since || now - own.renewed_at > lease_time)
     {
@@ -36,7 +36,8 @@
 
 duration view_lifetime(std::int64_t sharers)
 {
-    return read_pause_per_member * sharers + heartbeat_interval * reads_in_view;
+    return read_pause_per_member * sharers +
+           heartbeat_interval * reads_per_view;
 }
 
 slack_lease renewed(slack_lease const& before, call_times const& beat,
@@ -59,14 +60,14 @@
             auto const unchanged = known.read.sent - entry.second.changed_at;
             return entry.first != self && unchanged <= counted_for(window);
         });
-    auto const leaving =
+    auto const recently_removed =
         std::count_if(known.removed.begin(), known.removed.end(),
                       [&](auto const& entry) {
                           return entry.first != self &&
                                  now - entry.second <= window + clock_margin;
                       });
-    auto const sharers = 1 + others + leaving;
-    return may_use_slack(known, own, window, sharers, now) ? sharers : 0;
+    auto const sharers = 1 + others + recently_removed;
+    return may_use_allowance(known, own, window, sharers, now) ? sharers : 0;
 }
 
 } // namespace caperpath::fleet
--- a/tests/base/call_patience_test.cpp
+++ b/tests/base/call_patience_test.cpp
@@ -8,25 +8,25 @@
 class call_patience_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(call_patience_test);
-    CPPUNIT_TEST(a_lost_answer_is_noticed_soon);
-    CPPUNIT_TEST(a_slow_store_is_waited_for);
+    CPPUNIT_TEST(a_lost_response_times_out_soon);
+    CPPUNIT_TEST(the_timeout_grows_for_a_slow_store);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration longest{800};
 
-    // The store does what it is asked and loses the answer. Routers that waited
-    // 0.8 s for it had rows of 1.5 to 3.6 s of age when they were killed, and
-    // customers lost up to a quarter of what they had paid.
-    void a_lost_answer_is_noticed_soon()
+    // The store executes a call and its response is lost. With a wait of 0.8 s
+    // the rows of killed routers were 1.5 to 3.6 s old, and customers lost up
+    // to a quarter of the tokens that they had paid for.
+    void a_lost_response_times_out_soon()
     {
         call_patience of;
         of = answered(of, duration{12});
         CPPUNIT_ASSERT(wait_for_answer(of, longest) == duration{200});
     }
 
-    // The store takes 50 times as long as usual. Were calls given up after the
-    // usual time, none would ever be answered.
-    void a_slow_store_is_waited_for()
+    // The store takes 50 times as long as usual. If calls timed out after the
+    // usual time, none would ever get a response.
+    void the_timeout_grows_for_a_slow_store()
     {
         call_patience of;
         of = unanswered(unanswered(of));
--- a/tests/base/error_test.cpp
+++ b/tests/base/error_test.cpp
@@ -8,7 +8,7 @@
 {
     CPPUNIT_TEST_SUITE(error_test);
     CPPUNIT_TEST(carries_step_and_peer);
-    CPPUNIT_TEST(gives_the_value);
+    CPPUNIT_TEST(returns_the_value);
     CPPUNIT_TEST_SUITE_END();
 
     void carries_step_and_peer()
@@ -22,7 +22,7 @@
             to_string(fault));
     }
 
-    void gives_the_value()
+    void returns_the_value()
     {
         auto const both = value_or_error([]() -> result<int> { return 7; });
         CPPUNIT_ASSERT_EQUAL(7, std::get<int>(both));
--- a/tests/base/follow_pace_test.cpp
+++ b/tests/base/follow_pace_test.cpp
@@ -9,14 +9,14 @@
 class follow_pace_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(follow_pace_test);
-    CPPUNIT_TEST(limits_grow_with_lost_calls);
-    CPPUNIT_TEST(routers_come_back_at_different_times);
-    CPPUNIT_TEST(pauses_are_bounded);
+    CPPUNIT_TEST(timeouts_grow_with_lost_calls);
+    CPPUNIT_TEST(routers_retry_at_different_times);
+    CPPUNIT_TEST(delays_are_bounded);
     CPPUNIT_TEST(holds_grow_up_to_the_longest);
     CPPUNIT_TEST_SUITE_END();
 
-    // Guards against calls on a full link that are all given up too early.
-    void limits_grow_with_lost_calls()
+    // Guards against too short timeouts of calls on a saturated link.
+    void timeouts_grow_with_lost_calls()
     {
         constexpr duration usual{350};
         CPPUNIT_ASSERT(answer_limit(usual, 0) == usual);
@@ -24,15 +24,15 @@
         CPPUNIT_ASSERT(answer_limit(usual, 100) == duration{1'400});
     }
 
-    // Guards against a store that all routers call in the same millisecond.
-    void routers_come_back_at_different_times()
+    // Guards against all routers calling the store in the same millisecond.
+    void routers_retry_at_different_times()
     {
-        std::set<std::int64_t> pauses;
+        std::set<std::int64_t> delays;
         for (std::size_t salt = 0; salt < 300; ++salt)
         {
-            pauses.insert(retry_pause(1, salt).ms);
+            delays.insert(retry_pause(1, salt).ms);
         }
-        CPPUNIT_ASSERT(pauses.size() >= 40);
+        CPPUNIT_ASSERT(delays.size() >= 40);
     }
 
     void holds_grow_up_to_the_longest()
@@ -43,11 +43,11 @@
                        duration{15'000});
         CPPUNIT_ASSERT(next_hold(duration{15'000}, duration{15'000}) ==
                        duration{15'000});
-        // Without a longest one, a hold stays as it is.
+        // If `longest` is 0, the hold time does not change.
         CPPUNIT_ASSERT(next_hold(duration{600}, duration{0}) == duration{600});
     }
 
-    void pauses_are_bounded()
+    void delays_are_bounded()
     {
         for (std::size_t salt = 0; salt < 300; ++salt)
         {
--- a/tests/base/transfer_watch_test.cpp
+++ b/tests/base/transfer_watch_test.cpp
@@ -7,15 +7,15 @@
 class transfer_watch_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(transfer_watch_test);
-    CPPUNIT_TEST(a_slow_transfer_goes_on);
+    CPPUNIT_TEST(a_slow_transfer_continues);
     CPPUNIT_TEST(a_stall_ends_the_transfer);
     CPPUNIT_TEST(a_trickle_ends_the_transfer);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration stall{800};
 
-    // Guards against an answer that is given up because it is large.
-    void a_slow_transfer_goes_on()
+    // Guards against abandoning a response because it is large.
+    void a_slow_transfer_continues()
     {
         auto of = watch_transfer(stall, instant{0});
         for (std::int64_t at = 700; at < 60'000; at += 700)
@@ -25,7 +25,7 @@
         }
     }
 
-    // Guards against waiting for a connection that went silent.
+    // Guards against waiting for a silent connection.
     void a_stall_ends_the_transfer()
     {
         auto of = watch_transfer(stall, instant{0});
@@ -33,7 +33,7 @@
         CPPUNIT_ASSERT(stalled_at(of) == instant{1'300});
     }
 
-    // Guards against a peer that keeps a call open with a byte now and then.
+    // Guards against a peer that keeps a call open with occasional bytes.
     void a_trickle_ends_the_transfer()
     {
         auto of = watch_transfer(stall, instant{0});
--- a/tests/fleet/crash_fleet.cpp
+++ b/tests/fleet/crash_fleet.cpp
@@ -12,11 +12,11 @@
 constexpr std::uint64_t fatal = 1;
 constexpr std::uint64_t first_popular = 2;
 constexpr std::uint64_t first_unique = 1'000'000;
-constexpr duration fatal_run{60};
-constexpr duration usual_run{300};
+constexpr duration fatal_run_time{60};
+constexpr duration usual_run_time{300};
 constexpr duration down_time{3'000};
-constexpr duration told_after{20};
-constexpr duration caller_returns{100};
+constexpr duration report_delay{20};
+constexpr duration caller_retry_delay{100};
 constexpr duration grace{3'000};
 constexpr std::size_t domains = 3;
 
@@ -28,55 +28,56 @@
 {
 }
 
-void crash_fleet::at(instant when, std::function<void()> what)
+void crash_fleet::schedule(instant when, std::function<void()> what)
 {
     this->events.emplace(when, std::move(what));
 }
 
-std::size_t crash_fleet::drawn_below(std::size_t end)
+std::size_t crash_fleet::random_below(std::size_t end)
 {
     return std::uniform_int_distribution<std::size_t>{0, end - 1}(this->random);
 }
 
-duration crash_fleet::drawn(double per_second)
+duration crash_fleet::random_delay(double per_second)
 {
     constexpr double ms_per_second = 1'000;
     std::exponential_distribution<double> gap{per_second / ms_per_second};
     return {1 + static_cast<std::int64_t>(gap(this->random))};
 }
 
-fingerprint crash_fleet::name_of(std::uint64_t request)
+fingerprint crash_fleet::fingerprint_for(std::uint64_t request)
 {
     return {0, request};
 }
 
 void crash_fleet::lose_domain_at(instant when)
 {
-    this->at(when,
-             [this]
-             {
-                 for (std::size_t i = 0; i < this->servers.size(); i += domains)
-                 {
-                     this->crash(i);
-                 }
-             });
+    this->schedule(when,
+                   [this]
+                   {
+                       for (std::size_t i = 0; i < this->servers.size();
+                            i += domains)
+                       {
+                           this->crash(i);
+                       }
+                   });
 }
 
 void crash_fleet::lose_store_until(instant when)
 {
-    this->store_from = when;
+    this->store_back_at = when;
 }
 
 crash_fleet_result crash_fleet::run()
 {
-    this->at(instant{1}, [this] { this->arrive(); });
+    this->schedule(instant{1}, [this] { this->arrive(); });
     if (this->shape.fatal_per_s > 0)
     {
-        this->at(instant{1}, [this] { this->arrive_fatal(); });
+        this->schedule(instant{1}, [this] { this->arrive_fatal(); });
     }
     if (this->shape.failures_per_s > 0)
     {
-        this->at(instant{1}, [this] { this->fail_by_itself(); });
+        this->schedule(instant{1}, [this] { this->crash_random_server(); });
     }
     while (!this->events.empty() &&
            this->events.begin()->first < instant{this->shape.until.ms})
@@ -87,9 +88,10 @@
     }
     for (auto const& [request, entry] : this->routers.front().entries)
     {
-        auto const is_held =
+        auto const is_quarantined =
             judge(entry.evidence) == crash_verdict::quarantined;
-        this->result.held += is_held && request != name_of(fatal) ? 1 : 0;
+        this->result.held +=
+            is_quarantined && request != fingerprint_for(fatal) ? 1 : 0;
     }
     return this->result;
 }
@@ -98,34 +100,35 @@
 {
     auto const popular = this->shape.popular;
     auto const request = popular > 0
-                             ? first_popular + this->drawn_below(popular)
+                             ? first_popular + this->random_below(popular)
                              : first_unique + this->unique++;
     this->result.requests += 1;
     this->begin(
-        {request, this->drawn_below(this->shape.routers), 0, false, {}, {}});
-    this->at(this->now + this->drawn(this->shape.requests_per_s),
-             [this] { this->arrive(); });
+        {request, this->random_below(this->shape.routers), 0, false, {}, {}});
+    this->schedule(this->now + this->random_delay(this->shape.requests_per_s),
+                   [this] { this->arrive(); });
 }
 
 void crash_fleet::arrive_fatal()
 {
     this->begin(
-        {fatal, this->drawn_below(this->shape.routers), 0, false, {}, {}});
-    this->at(this->now + this->drawn(this->shape.fatal_per_s),
-             [this] { this->arrive_fatal(); });
+        {fatal, this->random_below(this->shape.routers), 0, false, {}, {}});
+    this->schedule(this->now + this->random_delay(this->shape.fatal_per_s),
+                   [this] { this->arrive_fatal(); });
 }
 
-void crash_fleet::fail_by_itself()
+void crash_fleet::crash_random_server()
 {
-    this->crash(this->drawn_below(this->servers.size()));
-    this->at(this->now + this->drawn(this->shape.failures_per_s),
-             [this] { this->fail_by_itself(); });
+    this->crash(this->random_below(this->servers.size()));
+    this->schedule(this->now + this->random_delay(this->shape.failures_per_s),
+                   [this] { this->crash_random_server(); });
 }
 
 void crash_fleet::begin(attempt one)
 {
     auto& record = this->routers[one.router];
-    auto const verdict = judge(evidence_of(record, name_of(one.request)));
+    auto const verdict =
+        judge(evidence_of(record, fingerprint_for(one.request)));
     if (verdict == crash_verdict::quarantined)
     {
         this->result.refused += one.request == fatal ? 0 : 1;
@@ -134,7 +137,7 @@
     auto const alone = this->on_probation[one.router].contains(one.request);
     if (verdict == crash_verdict::on_probation && alone)
     {
-        this->give_up(one);
+        this->abandon(one);
         return;
     }
     if (verdict == crash_verdict::on_probation)
@@ -173,16 +176,17 @@
                            ? without_suspects
                            : open;
     return from.empty() ? std::nullopt
-                        : std::optional{from[this->drawn_below(from.size())]};
+                        : std::optional{from[this->random_below(from.size())]};
 }
 
 void crash_fleet::send(attempt one)
 {
-    one.known = evidence_of(this->routers[one.router], name_of(one.request));
+    one.known =
+        evidence_of(this->routers[one.router], fingerprint_for(one.request));
     auto const where = this->choose(one);
     if (!where)
     {
-        this->give_up(one);
+        this->abandon(one);
         return;
     }
     one.sends += 1;
@@ -195,8 +199,8 @@
     auto const run = ++this->runs;
     auto const is_fatal = one.request == fatal;
     this->servers[*where].running[run] = std::move(one);
-    this->at(this->now + (is_fatal ? fatal_run : usual_run),
-             [this, where, run] { this->finish(*where, run); });
+    this->schedule(this->now + (is_fatal ? fatal_run_time : usual_run_time),
+                   [this, where, run] { this->finish(*where, run); });
 }
 
 void crash_fleet::finish(std::size_t where, std::uint64_t run)
@@ -220,11 +224,11 @@
     auto const one = std::move(found->second);
     running.erase(found);
     this->on_probation[one.router].erase(one.request);
-    auto const cleared =
-        note_answer(this->routers[one.router], name_of(one.request), this->now);
+    auto const cleared = note_answer(this->routers[one.router],
+                                     fingerprint_for(one.request), this->now);
     if (cleared)
     {
-        this->share(one.router, one.request);
+        this->report_evidence(one.router, one.request);
     }
 }
 
@@ -234,61 +238,64 @@
     this->servers[where].up_from = this->now + down_time;
     for (auto& [run, one] : ended)
     {
-        this->was_at_crash(std::move(one));
+        this->record_crash(std::move(one));
     }
 }
 
-void crash_fleet::was_at_crash(attempt one)
+void crash_fleet::record_crash(attempt one)
 {
-    auto const verdict = judge(note_crash(
-        this->routers[one.router], name_of(one.request), one.known, this->now));
+    auto const verdict =
+        judge(note_crash(this->routers[one.router],
+                         fingerprint_for(one.request), one.known, this->now));
     if (verdict != crash_verdict::suspected)
     {
-        this->share(one.router, one.request);
-        this->give_up(one);
+        this->report_evidence(one.router, one.request);
+        this->abandon(one);
         return;
     }
     if (one.sends >= this->shape.attempts)
     {
-        this->share(one.router, one.request);
-        this->give_up(one);
+        this->report_evidence(one.router, one.request);
+        this->abandon(one);
         return;
     }
     this->send(std::move(one));
 }
 
-void crash_fleet::give_up(attempt const& one)
+void crash_fleet::abandon(attempt const& one)
 {
     this->on_probation[one.router].erase(one.request);
     if (one.request == fatal)
     {
         return;
     }
-    if (one.repeated)
+    if (one.retried)
     {
         this->result.failed += 1;
         return;
     }
-    auto const other = this->drawn_below(this->shape.routers);
-    this->at(this->now + caller_returns,
-             [this, request = one.request, other] {
-                 this->begin({request, other, 0, true, {}, {}});
-             });
+    auto const other = this->random_below(this->shape.routers);
+    this->schedule(this->now + caller_retry_delay,
+                   [this, request = one.request, other] {
+                       this->begin({request, other, 0, true, {}, {}});
+                   });
 }
 
-void crash_fleet::share(std::size_t from, std::uint64_t request)
+void crash_fleet::report_evidence(std::size_t from, std::uint64_t request)
 {
-    auto const arrives = std::max(this->now, this->store_from) + told_after;
-    this->at(arrives,
-             [this, from, request]
-             {
-                 auto const name = name_of(request);
-                 auto const told = evidence_of(this->routers[from], name);
-                 for (auto& record : this->routers)
-                 {
-                     merge_evidence(record, name, told, this->now);
-                 }
-             });
+    auto const arrives =
+        std::max(this->now, this->store_back_at) + report_delay;
+    this->schedule(arrives,
+                   [this, from, request]
+                   {
+                       auto const name = fingerprint_for(request);
+                       auto const evidence =
+                           evidence_of(this->routers[from], name);
+                       for (auto& record : this->routers)
+                       {
+                           merge_evidence(record, name, evidence, this->now);
+                       }
+                   });
 }
 
 } // namespace caperpath::fleet
--- a/tests/fleet/crash_fleet.hpp
+++ b/tests/fleet/crash_fleet.hpp
@@ -16,45 +16,46 @@
 namespace caperpath::fleet
 {
 
-/// What a simulated fleet is like.
+/// Parameters of a simulated fleet.
 struct crash_fleet_shape
 {
     std::size_t routers{9};
     std::size_t servers{12};
-    std::size_t batch{16};      ///< requests that a server runs at once
+    std::size_t batch{16};      ///< concurrent requests of a server
     double requests_per_s{200}; ///< other than fatal ones
-    double fatal_per_s{5};      ///< of one request that crashes servers
-    std::uint64_t popular{0};   ///< so many requests come again and again
-    std::int64_t attempts{2};   ///< servers for each attempt of a caller
-    double failures_per_s{0};   ///< servers that end by themselves
+    double fatal_per_s{5};    ///< arrivals of one request that crashes servers
+    std::uint64_t popular{0}; ///< number of requests that recur; 0: all differ
+    std::int64_t attempts{2}; ///< most sends for each attempt of a caller
+    double failures_per_s{0}; ///< crashes without a cause in a request
     duration until{40'000};
     std::uint64_t seed{1};
 };
 
-/// What came of it.
+/// The result of a simulation.
 struct crash_fleet_result
 {
     std::int64_t fatal_crashes{};
-    /// Sends of the fatal request later than the grace after its third crash.
+    /// Sends of the fatal request after its third crash and a grace period.
     std::int64_t late_fatal_sends{};
-    std::int64_t requests{}; ///< innocent ones, without repeats
-    std::int64_t refused{};  ///< of these, as if they crashed servers
-    std::int64_t failed{};   ///< of these, with no answer in the end
-    std::size_t held{};      ///< different ones held to be fatal at the end
+    std::int64_t requests{}; ///< other than fatal, without retries
+    std::int64_t refused{};  ///< of these, rejected as quarantined
+    std::int64_t failed{};   ///< of these, without a response in the end
+    std::size_t held{};      ///< different ones in quarantine at the end
 };
 
-/// Routers over the pure record, servers that end under one request, and
-/// callers who come again once at another router. Simulated time; evidence
-/// reaches the other routers after `told_after`. Test code; not thread safe.
+/// Simulates routers that use the crash record, servers that crash under one
+/// request, and callers that retry once at another router. Simulated time;
+/// evidence reaches the other routers after `report_delay`. Test code; not
+/// thread safe.
 class crash_fleet
 {
 public:
     explicit crash_fleet(crash_fleet_shape const& shape);
 
-    /// All servers of a third of the fleet end at this moment.
+    /// All servers of one of three failure domains crash at this time.
     void lose_domain_at(instant at);
 
-    /// The store takes no evidence until then.
+    /// The store accepts no evidence until then.
     void lose_store_until(instant at);
 
     crash_fleet_result run();
@@ -65,31 +66,31 @@
         std::uint64_t request{};
         std::size_t router{};
         std::int64_t sends{};
-        bool repeated{false}; ///< the caller's second attempt
+        bool retried{false}; ///< the caller's second attempt
         std::set<std::size_t> tried;
         crash_evidence known;
     };
     struct server
     {
         instant up_from{};
-        std::map<std::uint64_t, attempt> running; ///< by number of the run
+        std::map<std::uint64_t, attempt> running; ///< by run number
     };
 
-    void at(instant when, std::function<void()> what);
+    void schedule(instant when, std::function<void()> what);
     void arrive();
     void arrive_fatal();
-    void fail_by_itself();
+    void crash_random_server();
     void begin(attempt one);
     void send(attempt one);
     void finish(std::size_t where, std::uint64_t run);
     void crash(std::size_t where);
-    void was_at_crash(attempt one);
-    void give_up(attempt const& one);
-    void share(std::size_t from, std::uint64_t request);
+    void record_crash(attempt one);
+    void abandon(attempt const& one);
+    void report_evidence(std::size_t from, std::uint64_t request);
     std::optional<std::size_t> choose(attempt const& one);
-    duration drawn(double per_second);
-    std::size_t drawn_below(std::size_t end);
-    static fingerprint name_of(std::uint64_t request);
+    duration random_delay(double per_second);
+    std::size_t random_below(std::size_t end);
+    static fingerprint fingerprint_for(std::uint64_t request);
 
     crash_fleet_shape shape;
     std::mt19937_64 random;
@@ -97,7 +98,7 @@
     std::vector<crash_record> routers;
     std::vector<server> servers;
     instant now{};
-    instant store_from{};
+    instant store_back_at{};
     std::uint64_t runs{};
     std::uint64_t unique{};
     std::set<std::uint64_t> seen_requests;
--- a/tests/fleet/crash_record_test.cpp
+++ b/tests/fleet/crash_record_test.cpp
@@ -10,22 +10,22 @@
 class crash_record_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(crash_record_test);
-    CPPUNIT_TEST(evidence_grows_one_crash_after_the_other);
-    CPPUNIT_TEST(crashes_of_one_moment_count_once);
-    CPPUNIT_TEST(an_answer_outweighs_crashes_before_it);
-    CPPUNIT_TEST(reports_in_any_order_say_the_same);
+    CPPUNIT_TEST(evidence_grows_with_consecutive_crashes);
+    CPPUNIT_TEST(simultaneous_crashes_count_once);
+    CPPUNIT_TEST(a_response_outweighs_earlier_crashes);
+    CPPUNIT_TEST(the_order_of_reports_does_not_matter);
     CPPUNIT_TEST(the_record_is_bounded);
-    CPPUNIT_TEST(what_is_not_confirmed_is_forgotten);
-    CPPUNIT_TEST(fingerprints_tell_contents_apart);
-    CPPUNIT_TEST(a_fatal_request_is_held_soon);
-    CPPUNIT_TEST(a_lost_domain_holds_no_request);
-    CPPUNIT_TEST(popular_requests_are_not_held);
+    CPPUNIT_TEST(unconfirmed_entries_expire);
+    CPPUNIT_TEST(fingerprints_distinguish_contents);
+    CPPUNIT_TEST(a_fatal_request_is_quarantined_soon);
+    CPPUNIT_TEST(a_lost_domain_quarantines_no_request);
+    CPPUNIT_TEST(popular_requests_are_not_quarantined);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr fingerprint one{1, 2};
     static constexpr instant start{1'000};
 
-    void evidence_grows_one_crash_after_the_other()
+    void evidence_grows_with_consecutive_crashes()
     {
         crash_record record;
         crash_verdict const expected[] = {
@@ -41,9 +41,9 @@
         CPPUNIT_ASSERT(quarantine_left(record, one, start) > duration{0});
     }
 
-    // Guards against refusing a popular request because a failure domain lost
+    // Guards against rejecting a popular request because a failure domain lost
     // power.
-    void crashes_of_one_moment_count_once()
+    void simultaneous_crashes_count_once()
     {
         crash_record record;
         for (int i = 0; i < 10; ++i)
@@ -54,19 +54,19 @@
                        crash_verdict::suspected);
     }
 
-    void an_answer_outweighs_crashes_before_it()
+    void a_response_outweighs_earlier_crashes()
     {
         crash_record record;
         auto const known = note_crash(record, one, {}, start);
         note_crash(record, one, known, start);
         CPPUNIT_ASSERT(note_answer(record, one, start));
         CPPUNIT_ASSERT(!note_answer(record, one, start));
-        // A report that was on its way.
+        // A report from before the response arrives late.
         note_crash(record, one, known, start);
         CPPUNIT_ASSERT(judge(evidence_of(record, one)) == crash_verdict::clear);
     }
 
-    void reports_in_any_order_say_the_same()
+    void the_order_of_reports_does_not_matter()
     {
         crash_evidence const reports[] = {{0, 1}, {0, 3}, {1, 0}, {1, 2}};
         crash_record forward;
@@ -80,8 +80,8 @@
         CPPUNIT_ASSERT(forward == backward);
     }
 
-    // Guards against a memory that grows with each crash, and against losing
-    // the worst in favour of the newest.
+    // Guards against memory that grows with each crash, and against evicting
+    // the entry with the most crashes in favour of newer ones.
     void the_record_is_bounded()
     {
         crash_record record;
@@ -95,21 +95,21 @@
                        crash_verdict::quarantined);
     }
 
-    void what_is_not_confirmed_is_forgotten()
+    void unconfirmed_entries_expire()
     {
         crash_record record;
         note_crash(record, one, {}, start);
         merge_evidence(record, {3, 4}, {0, crashes_to_quarantine}, start);
         CPPUNIT_ASSERT(forget_old(record, start + duration{1}).empty());
-        auto const gone = forget_old(record, start + suspicion_time);
-        CPPUNIT_ASSERT(gone == std::vector<fingerprint>{one});
+        auto const expired = forget_old(record, start + suspicion_time);
+        CPPUNIT_ASSERT(expired == std::vector<fingerprint>{one});
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, forget_old(record, start + quarantine_time).size());
         CPPUNIT_ASSERT(record.entries.empty());
     }
 
-    // Guards against a caller who has the requests of another one refused.
-    void fingerprints_tell_contents_apart()
+    // Guards against a caller that causes the rejection of another's requests.
+    void fingerprints_distinguish_contents()
     {
         request_content const base{"a", "POST", "host", "/path", "body"};
         auto const known = fingerprint_of(base);
@@ -117,7 +117,7 @@
         CPPUNIT_ASSERT(known == fingerprint_of(other));
         other.caller = "b";
         CPPUNIT_ASSERT(known != fingerprint_of(other));
-        // The same bytes, divided in another way.
+        // The same bytes, split differently.
         CPPUNIT_ASSERT(fingerprint_of({"a", "GET", "h", "/pa", "th"}) !=
                        fingerprint_of({"a", "GET", "h", "/p", "ath"}));
         CPPUNIT_ASSERT(read_fingerprint(to_string(known)) == known);
@@ -125,7 +125,7 @@
         CPPUNIT_ASSERT(!read_fingerprint(std::string(32, 'x')));
     }
 
-    static std::string told(crash_fleet_result const& of)
+    static std::string description(crash_fleet_result const& of)
     {
         return "crashes " + std::to_string(of.fatal_crashes) + ", late sends " +
                std::to_string(of.late_fatal_sends) + ", requests " +
@@ -134,9 +134,9 @@
                std::to_string(of.failed) + ", held " + std::to_string(of.held);
     }
 
-    // Guards against a request that comes to many routers and crashes servers
-    // at each of them, also while the routers cannot tell each other.
-    void a_fatal_request_is_held_soon()
+    // Guards against a request that crashes servers of many routers, one after
+    // the other, before the routers receive each other's evidence.
+    void a_fatal_request_is_quarantined_soon()
     {
         for (std::uint64_t seed = 1; seed <= 20; ++seed)
         {
@@ -148,12 +148,12 @@
             shape.attempts = 1 + static_cast<std::int64_t>(seed % 3);
             crash_fleet all{shape};
             auto const got = all.run();
-            CPPUNIT_ASSERT_MESSAGE(told(got), got.late_fatal_sends <= 3);
-            CPPUNIT_ASSERT_MESSAGE(told(got), got.fatal_crashes <= 12);
+            CPPUNIT_ASSERT_MESSAGE(description(got), got.late_fatal_sends <= 3);
+            CPPUNIT_ASSERT_MESSAGE(description(got), got.fatal_crashes <= 12);
         }
     }
 
-    void a_lost_domain_holds_no_request()
+    void a_lost_domain_quarantines_no_request()
     {
         for (std::uint64_t seed = 1; seed <= 20; ++seed)
         {
@@ -164,14 +164,14 @@
             crash_fleet all{shape};
             all.lose_domain_at(instant{10'000});
             auto const got = all.run();
-            CPPUNIT_ASSERT_MESSAGE(told(got), got.refused == 0);
-            CPPUNIT_ASSERT_MESSAGE(told(got), got.held == 0);
+            CPPUNIT_ASSERT_MESSAGE(description(got), got.refused == 0);
+            CPPUNIT_ASSERT_MESSAGE(description(got), got.held == 0);
         }
     }
 
-    // Guards against refusing requests that many callers send, because some of
-    // them were at the crashes that another request caused.
-    void popular_requests_are_not_held()
+    // Guards against rejecting popular requests because they were present at
+    // the crashes that another request caused.
+    void popular_requests_are_not_quarantined()
     {
         for (std::uint64_t seed = 1; seed <= 20; ++seed)
         {
@@ -180,7 +180,7 @@
             shape.popular = 1 + seed;
             crash_fleet all{shape};
             auto const got = all.run();
-            CPPUNIT_ASSERT_MESSAGE(told(got), got.held == 0);
+            CPPUNIT_ASSERT_MESSAGE(description(got), got.held == 0);
         }
     }
 };
--- a/tests/fleet/own_link_test.cpp
+++ b/tests/fleet/own_link_test.cpp
@@ -8,13 +8,13 @@
 class own_link_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(own_link_test);
-    CPPUNIT_TEST(a_link_that_carries_nothing_sheds_callers);
+    CPPUNIT_TEST(a_saturated_link_sheds_callers);
     CPPUNIT_TEST(silent_servers_alone_shed_nobody);
     CPPUNIT_TEST(a_silent_store_alone_sheds_nobody);
     CPPUNIT_TEST(a_few_silent_servers_shed_nobody);
-    CPPUNIT_TEST(callers_come_back_after_a_rest);
-    CPPUNIT_TEST(failures_of_long_ago_do_not_count);
-    CPPUNIT_TEST(a_process_that_did_not_run_sheds_nobody);
+    CPPUNIT_TEST(callers_return_after_the_shedding_time);
+    CPPUNIT_TEST(old_failures_do_not_count);
+    CPPUNIT_TEST(a_frozen_process_sheds_nobody);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration step{50};
@@ -26,13 +26,13 @@
         int silent{0};
     };
 
-    struct world
+    struct simulation
     {
         own_link link;
         instant now{10'000};
         bool shed{false}; ///< at any time in the latest run
 
-        world()
+        simulation()
         {
             this->link = confirmed(this->link);
         }
@@ -44,12 +44,12 @@
             while (this->now < end)
             {
                 this->now = this->now + step;
-                this->step_on(what);
+                this->advance_step(what);
                 this->shed = this->shed || sheds_callers(this->link, this->now);
             }
         }
 
-        void step_on(pattern const& what)
+        void advance_step(pattern const& what)
         {
             if (what.store)
             {
@@ -67,76 +67,78 @@
         }
     };
 
-    // Guards against a router that keeps taking callers while neither its
-    // configuration nor its servers come through.
-    void a_link_that_carries_nothing_sheds_callers()
+    // Guards against a router that keeps accepting callers while it reaches
+    // neither the store nor its servers.
+    void a_saturated_link_sheds_callers()
     {
-        world here;
-        here.run(duration{2'000}, {false, 1, 3});
-        CPPUNIT_ASSERT(sheds_callers(here.link, here.now));
+        simulation sim;
+        sim.run(duration{2'000}, {false, 1, 3});
+        CPPUNIT_ASSERT(sheds_callers(sim.link, sim.now));
     }
 
-    // Guards against taking servers that are down for a full link.
+    // Guards against mistaking failed servers for a saturated link.
     void silent_servers_alone_shed_nobody()
     {
-        world here;
-        here.run(duration{10'000}, {true, 0, 5});
-        CPPUNIT_ASSERT(!here.shed);
+        simulation sim;
+        sim.run(duration{10'000}, {true, 0, 5});
+        CPPUNIT_ASSERT(!sim.shed);
     }
 
-    // Guards against a fleet that leaves the rotation when the store is down.
+    // Guards against a fleet that leaves the rotation in an outage of the
+    // store.
     void a_silent_store_alone_sheds_nobody()
     {
-        world here;
-        here.run(duration{60'000}, {false, 3, 2});
-        CPPUNIT_ASSERT(!here.shed);
+        simulation sim;
+        sim.run(duration{60'000}, {false, 3, 2});
+        CPPUNIT_ASSERT(!sim.shed);
     }
 
-    // Guards against a router that leaves because one server is down while the
-    // store is.
+    // Guards against a router that leaves the rotation because one server fails
+    // in an outage of the store.
     void a_few_silent_servers_shed_nobody()
     {
-        world here;
+        simulation sim;
         for (int i = 0; i < 20; ++i)
         {
-            here.run(step, {false, 0, 1});
-            CPPUNIT_ASSERT(!here.shed);
-            here.run(duration{450}, {});
-            CPPUNIT_ASSERT(!here.shed);
+            sim.run(step, {false, 0, 1});
+            CPPUNIT_ASSERT(!sim.shed);
+            sim.run(duration{450}, {});
+            CPPUNIT_ASSERT(!sim.shed);
         }
     }
 
-    // Guards against a router that never comes back, and against one that comes
-    // back in the moment in which its link is free.
-    void callers_come_back_after_a_rest()
+    // Guards against a router that never returns to the rotation, and against
+    // one that returns as soon as its link is free.
+    void callers_return_after_the_shedding_time()
     {
-        world here;
-        here.run(duration{2'000}, {false, 0, 5});
-        CPPUNIT_ASSERT(sheds_callers(here.link, here.now));
-        here.run(link_rest - duration{100}, {true, 0, 0});
-        CPPUNIT_ASSERT(sheds_callers(here.link, here.now));
-        here.run(duration{100}, {true, 0, 0});
-        CPPUNIT_ASSERT(!sheds_callers(here.link, here.now));
+        simulation sim;
+        sim.run(duration{2'000}, {false, 0, 5});
+        CPPUNIT_ASSERT(sheds_callers(sim.link, sim.now));
+        sim.run(shedding_time - duration{100}, {true, 0, 0});
+        CPPUNIT_ASSERT(sheds_callers(sim.link, sim.now));
+        sim.run(duration{100}, {true, 0, 0});
+        CPPUNIT_ASSERT(!sheds_callers(sim.link, sim.now));
     }
 
-    // Guards against counting connects of before a pause.
-    void failures_of_long_ago_do_not_count()
+    // Guards against counting connects from before a pause.
+    void old_failures_do_not_count()
     {
-        world here;
-        here.run(duration{1'000}, {false, 0, 5});
-        CPPUNIT_ASSERT(!here.shed);
-        here.now = here.now + duration{5'000};
-        here.run(step, {false, 0, 1});
-        CPPUNIT_ASSERT(!here.shed);
+        simulation sim;
+        sim.run(duration{1'000}, {false, 0, 5});
+        CPPUNIT_ASSERT(!sim.shed);
+        sim.now = sim.now + duration{5'000};
+        sim.run(step, {false, 0, 1});
+        CPPUNIT_ASSERT(!sim.shed);
     }
 
-    // Guards against taking the pause of a frozen process for a full link.
-    void a_process_that_did_not_run_sheds_nobody()
+    // Guards against mistaking the pause of a frozen process for a saturated
+    // link.
+    void a_frozen_process_sheds_nobody()
     {
-        world here;
-        here.now = here.now + duration{5'000};
-        here.run(duration{500}, {false, 0, 10});
-        CPPUNIT_ASSERT(!here.shed);
+        simulation sim;
+        sim.now = sim.now + duration{5'000};
+        sim.run(duration{500}, {false, 0, 10});
+        CPPUNIT_ASSERT(!sim.shed);
     }
 };
 
--- a/tests/fleet/placement_test.cpp
+++ b/tests/fleet/placement_test.cpp
@@ -12,12 +12,12 @@
 class placement_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(placement_test);
-    CPPUNIT_TEST(a_shared_part_stays_at_one_server_at_rest);
-    CPPUNIT_TEST(all_routers_agree_on_the_server_of_a_part);
-    CPPUNIT_TEST(parts_spread_over_all_servers);
-    CPPUNIT_TEST(a_long_unread_prompt_sends_others_elsewhere);
-    CPPUNIT_TEST(a_slow_server_gets_no_work_while_others_are_free);
-    CPPUNIT_TEST(orders_go_to_the_emptiest_server);
+    CPPUNIT_TEST(a_shared_prefix_stays_at_one_idle_server);
+    CPPUNIT_TEST(all_routers_agree_on_the_server_of_a_prefix);
+    CPPUNIT_TEST(prefixes_spread_over_all_servers);
+    CPPUNIT_TEST(a_long_prefill_moves_other_requests_to_idle_servers);
+    CPPUNIT_TEST(a_slow_server_gets_no_requests_while_others_are_free);
+    CPPUNIT_TEST(plain_requests_go_to_the_least_loaded_server);
     CPPUNIT_TEST(a_server_that_was_tried_is_not_chosen_again);
     CPPUNIT_TEST(a_chosen_server_is_always_usable);
     CPPUNIT_TEST_SUITE_END();
@@ -70,7 +70,7 @@
         return place(table, of, item, memory, avoid, {}, start);
     }
 
-    void a_shared_part_stays_at_one_server_at_rest()
+    void a_shared_prefix_stays_at_one_idle_server()
     {
         auto const table = table_of("llm", 18);
         auto const first = choose(table, prompt(77));
@@ -78,25 +78,25 @@
         CPPUNIT_ASSERT(first->server == choose(table, prompt(77))->server);
     }
 
-    // Each router places by itself. If they disagreed on where a part is kept,
-    // each engine would read it again, and callers would wait for that.
-    void all_routers_agree_on_the_server_of_a_part()
+    // Routers choose servers independently. If they disagreed on the server of
+    // a prefix, every engine would prefill it again, which delays callers.
+    void all_routers_agree_on_the_server_of_a_prefix()
     {
-        auto const here = table_of("llm", 18);
-        auto there = table_of("llm", 18);
-        there.servers.at({"i-3"}).own.open = 1;
+        auto const own_view = table_of("llm", 18);
+        auto other_view = table_of("llm", 18);
+        other_view.servers.at({"i-3"}).own.open = 1;
         int agreed = 0;
         for (std::uint64_t part = 1; part <= 100; ++part)
         {
-            agreed += choose(here, prompt(part))->server ==
-                              choose(there, prompt(part))->server
+            agreed += choose(own_view, prompt(part))->server ==
+                              choose(other_view, prompt(part))->server
                           ? 1
                           : 0;
         }
         CPPUNIT_ASSERT(agreed >= 90);
     }
 
-    void parts_spread_over_all_servers()
+    void prefixes_spread_over_all_servers()
     {
         auto const table = table_of("llm", 18);
         std::map<backend_server_id, int> counts;
@@ -111,10 +111,10 @@
         }
     }
 
-    // A prompt of 54,600 tokens keeps an engine reading for most of a second.
-    // Requests that follow it to the same engine for a shared part of 400
-    // tokens would begin late, while other engines stand idle.
-    void a_long_unread_prompt_sends_others_elsewhere()
+    // Prefill of a prompt of 54,600 tokens occupies an engine for most of a
+    // second. Requests sent to the same engine for a shared prefix of 400
+    // tokens would begin late while other engines are idle.
+    void a_long_prefill_moves_other_requests_to_idle_servers()
     {
         auto table = table_of("llm", 18);
         auto const home = choose(table, prompt(5, 400, 1'000))->server;
@@ -122,9 +122,9 @@
         CPPUNIT_ASSERT(choose(table, prompt(5, 400, 1'000))->server != home);
     }
 
-    // An engine works eight times as long as usual, and its health check says
-    // nothing. Callers sent there wait past their goal.
-    void a_slow_server_gets_no_work_while_others_are_free()
+    // An engine is eight times as slow as usual and its health check does not
+    // report it. Requests sent there would miss their latency goal.
+    void a_slow_server_gets_no_requests_while_others_are_free()
     {
         auto table = table_of("llm", 6);
         auto const home = choose(table, prompt(9))->server;
@@ -136,7 +136,7 @@
         CPPUNIT_ASSERT(choose(table, prompt(9))->server != home);
     }
 
-    void orders_go_to_the_emptiest_server()
+    void plain_requests_go_to_the_least_loaded_server()
     {
         auto table = table_of("app", 3);
         table.servers.at({"i-0"}).own.open = 6;
@@ -145,7 +145,7 @@
         CPPUNIT_ASSERT_EQUAL(
             std::string{"i-1"},
             choose(table, {{"app"}, 0, 0, 0, 0})->server.value);
-        // What other routers sent there shows in the server's own figure.
+        // The server's load report includes the requests of other routers.
         auto& one = table.servers.at({"i-1"});
         one.report = {6, 9, 6};
         one.reported_at = start;
--- a/tests/fleet/readiness_test.cpp
+++ b/tests/fleet/readiness_test.cpp
@@ -9,11 +9,11 @@
 {
     CPPUNIT_TEST_SUITE(readiness_test);
     CPPUNIT_TEST(all_known_is_ready);
-    CPPUNIT_TEST(unread_crashes_hold_it_back);
-    CPPUNIT_TEST(unread_crashes_do_not_keep_a_fleet_out);
-    CPPUNIT_TEST(an_outage_does_not_wait_for_crashes);
-    CPPUNIT_TEST(missing_shares_hold_it_back_for_a_while);
-    CPPUNIT_TEST(no_budget_is_never_ready);
+    CPPUNIT_TEST(an_unread_crash_record_delays_readiness);
+    CPPUNIT_TEST(an_unread_crash_record_does_not_block_readiness);
+    CPPUNIT_TEST(an_outage_skips_the_wait_for_the_crash_record);
+    CPPUNIT_TEST(missing_shares_delay_readiness);
+    CPPUNIT_TEST(without_a_budget_never_ready);
     CPPUNIT_TEST_SUITE_END();
 
     static start_progress all_known()
@@ -26,9 +26,9 @@
         CPPUNIT_ASSERT(may_take_callers(all_known()));
     }
 
-    // Guards against a router that gets callers, and crashes a server, before
-    // it has read what the others know.
-    void unread_crashes_hold_it_back()
+    // Guards against a router that gets callers and crashes a server before it
+    // has read the crash record.
+    void an_unread_crash_record_delays_readiness()
     {
         auto known = all_known();
         known.knows_crashes = false;
@@ -37,9 +37,9 @@
         CPPUNIT_ASSERT(!may_take_callers(known));
     }
 
-    // Guards against a fleet that stays out of rotation because these rows
-    // alone cannot be read.
-    void unread_crashes_do_not_keep_a_fleet_out()
+    // Guards against a fleet that stays out of rotation only because the crash
+    // record cannot be read.
+    void an_unread_crash_record_does_not_block_readiness()
     {
         auto known = all_known();
         known.knows_crashes = false;
@@ -47,8 +47,8 @@
         CPPUNIT_ASSERT(may_take_callers(known));
     }
 
-    // Guards against a start that waits for a store that is away.
-    void an_outage_does_not_wait_for_crashes()
+    // Guards against a start that waits for an unavailable store.
+    void an_outage_skips_the_wait_for_the_crash_record()
     {
         auto known = all_known();
         known.knows_crashes = false;
@@ -56,9 +56,9 @@
         CPPUNIT_ASSERT(may_take_callers(known));
     }
 
-    // Guards against a router that refuses customers whose shares come late,
-    // and against one that serves nobody because of one of them.
-    void missing_shares_hold_it_back_for_a_while()
+    // Guards against a router that rejects customers whose shares arrive late,
+    // and against one that serves nobody because one share is missing.
+    void missing_shares_delay_readiness()
     {
         auto known = all_known();
         known.has_shares = false;
@@ -67,8 +67,8 @@
         CPPUNIT_ASSERT(may_take_callers(known));
     }
 
-    // Guards against a router that takes callers whom only others can serve.
-    void no_budget_is_never_ready()
+    // Guards against a router that accepts callers that only others can serve.
+    void without_a_budget_never_ready()
     {
         auto known = all_known();
         known.knows_a_budget = false;
--- a/tests/fleet/repeat_limit_test.cpp
+++ b/tests/fleet/repeat_limit_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/repeat_fleet.hpp"
+#include "fleet/retry_fleet.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -8,351 +8,356 @@
 using namespace caperpath;
 using namespace caperpath::fleet;
 
-/// The limit on repeats holds for the sum over all routers that ever ran.
+/// The retry limit holds for the sum over all routers that ever ran.
 class repeat_limit_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(repeat_limit_test);
-    CPPUNIT_TEST(an_outage_of_the_store_adds_no_slack);
-    CPPUNIT_TEST(routers_that_start_in_an_outage_add_no_slack);
-    CPPUNIT_TEST(restarts_add_no_slack);
+    CPPUNIT_TEST(an_outage_of_the_store_adds_no_allowance);
+    CPPUNIT_TEST(routers_that_start_in_an_outage_add_no_allowance);
+    CPPUNIT_TEST(restarts_add_no_allowance);
     CPPUNIT_TEST(a_large_fleet_keeps_its_count_between_two_reads);
-    CPPUNIT_TEST(added_machines_add_no_slack);
-    CPPUNIT_TEST(a_router_that_cannot_read_does_not_trust_its_old_count);
+    CPPUNIT_TEST(added_routers_add_no_allowance);
+    CPPUNIT_TEST(a_router_that_cannot_read_does_not_use_its_old_count);
     CPPUNIT_TEST(a_router_that_cannot_write_leaves_its_part_to_the_others);
-    CPPUNIT_TEST(parts_of_routers_that_left_are_not_used_in_the_same_window);
-    CPPUNIT_TEST(a_fleet_that_shrinks_and_grows_unseen_adds_no_slack);
-    CPPUNIT_TEST(a_suspended_machine_wakes_without_slack);
-    CPPUNIT_TEST(two_bursts_of_requests_pay_for_one_window_only);
-    CPPUNIT_TEST(slack_serves_a_fleet_that_knows_itself);
-    CPPUNIT_TEST(no_drawn_history_passes_the_limit);
+    CPPUNIT_TEST(parts_of_stopped_routers_are_not_used_in_the_same_window);
+    CPPUNIT_TEST(
+        a_fleet_that_shrinks_and_grows_without_reads_adds_no_allowance);
+    CPPUNIT_TEST(a_suspended_machine_resumes_without_allowance);
+    CPPUNIT_TEST(two_bursts_of_requests_count_in_one_window_only);
+    CPPUNIT_TEST(a_settled_fleet_can_use_its_allowance);
+    CPPUNIT_TEST(random_events_never_exceed_the_limit);
     CPPUNIT_TEST_SUITE_END();
 
-    /// The limit of a fleet of some eighty routers.
+    /// The limit of a fleet of about eighty routers.
     static constexpr retry_limit large{0.2, 202, {10'000}};
     static constexpr std::size_t many = 81;
     static constexpr duration a_minute{60'000};
 
-    static void check_limit(repeat_fleet const& here)
+    static void check_limit(retry_fleet const& sim)
     {
-        CPPUNIT_ASSERT_LESSEQUAL(0.0, here.worst_excess());
+        CPPUNIT_ASSERT_LESSEQUAL(0.0, sim.max_excess());
     }
 
-    // The store goes silent while servers reject what they get. No heartbeat
-    // can be read, and after 14 s each of 81 routers took itself for the only
-    // one left and used the slack of the whole fleet: lifetimes ran on while
-    // their renewals could not be read. Servers that are too busy already saw
-    // their load grow by the repeats of all. Every router's log said so 12 s
-    // into the outage, `step=repeat_limit routers=1 before=81`, and from then
-    // on `step=repeats` denied none, where it had denied 750 in 2 s.
-    void an_outage_of_the_store_adds_no_slack()
+    // The store stops responding while servers reject requests. Guards against
+    // lifetimes that expire while renewals cannot be read: after 14 s each of
+    // 81 routers would count only itself, use the retry allowance of the whole
+    // fleet and add load to overloaded servers. The log then shows
+    // `step=repeat_limit routers=1 before=81`, and `step=repeats` rejects none
+    // instead of 750 in 2 s.
+    void an_outage_of_the_store_adds_no_allowance()
     {
-        repeat_fleet here{large};
-        here.start_settled(many);
-        here.set_store(false);
-        here.run_rejecting({25'000}, 1);
-        here.set_store(true);
-        here.run_rejecting({20'000}, 1);
-        check_limit(here);
+        retry_fleet sim{large};
+        sim.start_settled(many);
+        sim.set_store(false);
+        sim.run_while_rejecting({25'000}, 1);
+        sim.set_store(true);
+        sim.run_while_rejecting({20'000}, 1);
+        check_limit(sim);
     }
 
-    // All machines start while the store is silent. None has ever read who
-    // else is there, so each of them believes that it is alone.
-    void routers_that_start_in_an_outage_add_no_slack()
+    // All routers start while the store does not respond. None has read the
+    // rows of the others, so each counts only itself.
+    void routers_that_start_in_an_outage_add_no_allowance()
     {
-        repeat_fleet here{large};
-        here.set_store(false);
-        here.start(many);
-        here.run_rejecting({12'000}, 1);
-        check_limit(here);
+        retry_fleet sim{large};
+        sim.set_store(false);
+        sim.start(many);
+        sim.run_while_rejecting({12'000}, 1);
+        check_limit(sim);
     }
 
     // Routers are killed three times within a few seconds. Each new process
-    // starts with an empty window and knows nobody: `step=repeat_limit
-    // routers=1` at each start. What the process before it sent was forgotten,
-    // and the slack was used anew with each life: 929 repeats in 10 s for 3,587
-    // requests, where 919 are allowed.
-    void restarts_add_no_slack()
+    // starts with an empty window and without other members (`step=repeat_limit
+    // routers=1`). Guards against using the retry allowance again in each
+    // incarnation: 929 retries in 10 s for 3,587 requests, where 919 are
+    // allowed.
+    void restarts_add_no_allowance()
     {
-        repeat_fleet here{large};
-        here.start_settled(many);
-        here.request(10);
-        here.run_rejecting({2'000}, 0);
+        retry_fleet sim{large};
+        sim.start_settled(many);
+        sim.request(10);
+        sim.run_while_rejecting({2'000}, 0);
         for (int life = 0; life < 3; ++life)
         {
-            here.kill_all();
-            here.start(many);
-            here.advance({1'000});
-            here.request(10);
-            here.run_rejecting({2'000}, 0);
+            sim.kill_all();
+            sim.start(many);
+            sim.advance({1'000});
+            sim.request(10);
+            sim.run_while_rejecting({2'000}, 0);
         }
-        check_limit(here);
+        check_limit(sim);
     }
 
-    // Reading the rows of 390 routers is done every 19.5 s, to spare the store.
-    // A row that was last seen to change longer ago than a heartbeat lives
-    // counted as dead, so that between two reads every router counted one.
+    // Routers read the rows of 390 routers every 19.5 s to limit the load on
+    // the store. Guards against counting a row as dead because its last known
+    // change is older than a heartbeat's lifetime: between two reads every
+    // router would count only itself.
     void a_large_fleet_keeps_its_count_between_two_reads()
     {
-        repeat_fleet here{{0.2, 900, {10'000}}};
-        here.start_settled(390);
+        retry_fleet sim{{0.2, 900, {10'000}}};
+        sim.start_settled(390);
         for (int round = 0; round < 4; ++round)
         {
-            here.advance({4'500});
-            here.request(1);
-            here.repeat_all();
+            sim.advance({4'500});
+            sim.request(1);
+            sim.retry_all();
         }
-        check_limit(here);
+        check_limit(sim);
     }
 
-    // Machines are added to a fleet that uses all of its slack. The others
-    // learn of them at their next read, and until then divide by too few.
-    void added_machines_add_no_slack()
+    // Routers join a fleet that uses all of its retry allowance. The others
+    // count them only after their next read, and until then divide by too few.
+    void added_routers_add_no_allowance()
     {
-        repeat_fleet here{{0.2, 60, {10'000}}};
-        here.start_settled(3);
-        here.repeat_all();
-        here.start(9);
-        here.run_rejecting({20'000}, 0);
-        check_limit(here);
+        retry_fleet sim{{0.2, 60, {10'000}}};
+        sim.start_settled(3);
+        sim.retry_all();
+        sim.start(9);
+        sim.run_while_rejecting({20'000}, 0);
+        check_limit(sim);
     }
 
-    /// So many routers cannot read any more, and others join; the servers begin
-    /// to reject some time after that.
-    static void join_unseen(std::size_t old, std::size_t joining,
-                            duration quiet)
+    /// The reads of `old` routers fail and `joining` others start; the servers
+    /// reject requests after `quiet`.
+    static void join_without_reads(std::size_t old, std::size_t joining,
+                                   duration quiet)
     {
-        repeat_fleet here{{0.2, 6'000, {10'000}}};
-        here.start_settled(old);
+        retry_fleet sim{{0.2, 6'000, {10'000}}};
+        sim.start_settled(old);
         for (std::size_t i = 0; i < old; ++i)
         {
-            here.set_reads(i, false);
+            sim.set_reads(i, false);
         }
-        here.start(joining);
-        here.advance(quiet);
-        here.run_rejecting({30'000}, 0);
-        check_limit(here);
+        sim.start(joining);
+        sim.advance(quiet);
+        sim.run_while_rejecting({30'000}, 0);
+        check_limit(sim);
     }
 
-    // The heartbeats of a fleet are written, and its reads fail: for a minute
-    // its routers do not learn that others have come, and divide the slack
-    // among themselves beside them. A large fleet reads more seldom, so its
-    // views live longer.
-    void a_router_that_cannot_read_does_not_trust_its_old_count()
+    // The heartbeats of a fleet are written but its reads fail. Guards against
+    // routers that do not count those that join and divide the whole retry
+    // allowance among themselves. Views of a large fleet live longer, since it
+    // reads less often.
+    void a_router_that_cannot_read_does_not_use_its_old_count()
     {
         for (auto quiet = duration{0}; quiet < duration{10'000};
              quiet = quiet + duration{1'000})
         {
-            join_unseen(3, 9, quiet);
-            join_unseen(100, 100, quiet);
+            join_without_reads(3, 9, quiet);
+            join_without_reads(100, 100, quiet);
         }
     }
 
-    // Nine of twelve routers read, and their heartbeats are not written. The
-    // three others take them for dead and use their parts; the nine live on.
+    // The heartbeats of nine of twelve routers are not written, but their reads
+    // succeed. The three others count them as dead and use their parts while
+    // the nine still run.
     void a_router_that_cannot_write_leaves_its_part_to_the_others()
     {
-        repeat_fleet here{{0.2, 600, {10'000}}};
-        here.start_settled(12);
+        retry_fleet sim{{0.2, 600, {10'000}}};
+        sim.start_settled(12);
         for (std::size_t i = 0; i < 9; ++i)
         {
-            here.set_writes(i, false);
+            sim.set_writes(i, false);
         }
-        here.run_rejecting(a_minute, 0);
-        // Their first heartbeat counts at once, and the others' views do not
-        // show it yet.
+        sim.run_while_rejecting(a_minute, 0);
+        // Their first heartbeat counts at once, but the views of the others do
+        // not show it yet.
         for (std::size_t i = 0; i < 9; ++i)
         {
-            here.set_writes(i, true);
+            sim.set_writes(i, true);
         }
-        here.run_rejecting(a_minute, 0);
-        check_limit(here);
+        sim.run_while_rejecting(a_minute, 0);
+        check_limit(sim);
     }
 
-    // Nine of twelve routers use their parts and are stopped as planned; the
-    // three others see that they are gone and use all of it, while what those
-    // sent is still in the window.
-    void parts_of_routers_that_left_are_not_used_in_the_same_window()
+    // Nine of twelve routers use their parts and stop as planned. Guards
+    // against the three others using the whole allowance while the retries of
+    // the nine are still in the window.
+    void parts_of_stopped_routers_are_not_used_in_the_same_window()
     {
-        repeat_fleet here{{0.2, 600, {10'000}}};
-        here.start_settled(12);
-        here.repeat_all();
+        retry_fleet sim{{0.2, 600, {10'000}}};
+        sim.start_settled(12);
+        sim.retry_all();
         for (std::size_t i = 0; i < 9; ++i)
         {
-            here.leave(i);
+            sim.stop(i);
         }
-        here.run_rejecting({9'500}, 0);
-        check_limit(here);
+        sim.run_while_rejecting({9'500}, 0);
+        check_limit(sim);
     }
 
-    // Of a hundred routers all but ten are stopped, and ten others start. The
-    // ten that stayed cannot read: they still divide by a hundred and may do so
-    // for longer than the new ones wait for views of a small fleet.
-    void a_fleet_that_shrinks_and_grows_unseen_adds_no_slack()
+    // Of a hundred routers all but ten stop, and ten others start. The ten that
+    // remain cannot read: they still divide by a hundred, and may do so for
+    // longer than the new ones wait for views of a small fleet to expire.
+    void a_fleet_that_shrinks_and_grows_without_reads_adds_no_allowance()
     {
-        repeat_fleet here{{0.2, 600, {10'000}}};
-        here.start_settled(100);
+        retry_fleet sim{{0.2, 600, {10'000}}};
+        sim.start_settled(100);
         for (std::size_t i = 0; i < 100; ++i)
         {
             if (i < 10)
             {
-                here.set_reads(i, false);
+                sim.set_reads(i, false);
                 continue;
             }
-            here.leave(i);
+            sim.stop(i);
         }
-        here.start(10);
-        here.run_rejecting(a_minute, 0);
-        check_limit(here);
+        sim.start(10);
+        sim.run_while_rejecting(a_minute, 0);
+        check_limit(sim);
     }
 
-    // Machines are suspended for a minute, and their monotonic clocks with
-    // them. Counted out by the others, each of them wakes up with a view of
-    // the fleet that looks as fresh as before.
-    void a_suspended_machine_wakes_without_slack()
+    // Machines are suspended for a minute together with their monotonic clocks.
+    // The others no longer count them, but each resumes with a view of the
+    // fleet that appears fresh.
+    void a_suspended_machine_resumes_without_allowance()
     {
-        repeat_fleet here{{0.2, 60, {10'000}}};
-        here.start_settled(12);
+        retry_fleet sim{{0.2, 60, {10'000}}};
+        sim.start_settled(12);
         for (std::size_t i = 0; i < 9; ++i)
         {
-            here.suspend(i, {70'000});
+            sim.suspend(i, {70'000});
         }
-        here.advance({69'000});
-        here.repeat_all();
-        here.advance({1'000});
-        here.run_rejecting({3'000}, 0);
-        check_limit(here);
+        sim.advance({69'000});
+        sim.retry_all();
+        sim.advance({1'000});
+        sim.run_while_rejecting({3'000}, 0);
+        check_limit(sim);
     }
 
-    // Callers come in two bursts, nearly a window apart, and the second one
-    // fails. Paid for by the requests of both, the repeats pass the part of
-    // any single window.
-    void two_bursts_of_requests_pay_for_one_window_only()
+    // Requests arrive in two bursts, nearly a window apart, and the second
+    // burst fails. If the requests of both counted, the retries would exceed
+    // the limit of every single window.
+    void two_bursts_of_requests_count_in_one_window_only()
     {
-        repeat_fleet here{{0.2, 0, {10'000}}};
-        here.start(4);
-        here.request(1'000);
-        here.advance({9'800});
-        here.request(1'000);
-        here.repeat_all();
-        here.advance({9'800});
-        here.repeat_all();
-        check_limit(here);
+        retry_fleet sim{{0.2, 0, {10'000}}};
+        sim.start(4);
+        sim.request(1'000);
+        sim.advance({9'800});
+        sim.request(1'000);
+        sim.retry_all();
+        sim.advance({9'800});
+        sim.retry_all();
+        check_limit(sim);
     }
 
-    // Of a service with little traffic a router rarely sees a request: without
-    // slack a server that fails could never be passed over there.
-    void slack_serves_a_fleet_that_knows_itself()
+    // A router rarely gets a request for a service with little traffic. Without
+    // the retry allowance it could never retry one after a server failure.
+    void a_settled_fleet_can_use_its_allowance()
     {
-        repeat_fleet nine{{0.2, 60, {10'000}}};
+        retry_fleet nine{{0.2, 60, {10'000}}};
         nine.start_settled(9);
-        nine.repeat_all();
-        CPPUNIT_ASSERT(nine.repeats() >= 9 * 5);
+        nine.retry_all();
+        CPPUNIT_ASSERT(nine.retries() >= 9 * 5);
         check_limit(nine);
-        // Of many routers also between two reads of all their rows.
+        // In a large fleet, also between two reads of all rows.
         constexpr std::int64_t most = 390;
-        repeat_fleet all{{0.2, 900, {10'000}}};
+        retry_fleet all{{0.2, 900, {10'000}}};
         all.start_settled(most);
         for (std::int64_t window = 1; window <= 4; ++window)
         {
-            all.repeat_all();
-            CPPUNIT_ASSERT(all.repeats() >= most * window);
+            all.retry_all();
+            CPPUNIT_ASSERT(all.retries() >= most * window);
             all.advance({10'100});
         }
         check_limit(all);
     }
 
-    /// One thing that happens to the fleet.
-    static void happen(repeat_fleet& here)
+    /// Applies one random event to the fleet.
+    static void apply_random_event(retry_fleet& sim)
     {
-        auto const running = here.running();
+        auto const running = sim.running();
         auto const some = [&]
         {
             return running[*rc::gen::inRange<std::size_t>(0, running.size())];
         };
-        auto const kind = *rc::gen::inRange(0, 14);
-        if (kind <= 1)
+        auto const event = *rc::gen::inRange(0, 14);
+        if (event <= 1)
         {
-            here.start(*rc::gen::inRange<std::size_t>(1, 6));
+            sim.start(*rc::gen::inRange<std::size_t>(1, 6));
         }
-        else if (kind == 2)
+        else if (event == 2)
         {
-            here.set_store(false);
+            sim.set_store(false);
         }
-        else if (kind <= 4)
+        else if (event <= 4)
         {
-            here.set_store(true);
+            sim.set_store(true);
         }
-        else if (kind == 5)
+        else if (event == 5)
         {
-            here.kill_all();
-            here.start(*rc::gen::inRange<std::size_t>(1, 12));
+            sim.kill_all();
+            sim.start(*rc::gen::inRange<std::size_t>(1, 12));
         }
-        else if (kind == 6)
+        else if (event == 6)
         {
-            here.request(*rc::gen::inRange(0, 60));
+            sim.request(*rc::gen::inRange(0, 60));
         }
         else if (running.empty())
         {
             return;
         }
-        else if (kind == 7)
+        else if (event == 7)
         {
-            here.kill(some());
+            sim.kill(some());
         }
-        else if (kind == 8)
+        else if (event == 8)
         {
-            here.leave(some());
+            sim.stop(some());
         }
-        else if (kind == 9)
+        else if (event == 9)
         {
-            here.suspend(some(), {*rc::gen::inRange(100, 60'000)});
+            sim.suspend(some(), {*rc::gen::inRange(100, 60'000)});
         }
-        else if (kind <= 11)
+        else if (event <= 11)
         {
-            here.set_reads(some(), kind == 10);
+            sim.set_reads(some(), event == 10);
         }
         else
         {
-            here.set_writes(some(), kind == 12);
+            sim.set_writes(some(), event == 12);
         }
     }
 
-    // Starts, kills, planned stops, suspended machines, outages for all and for
-    // some, lost and late heartbeats and bursts of requests, in any order. What
-    // single routers believe may be wrong; the sum of their repeats may not.
-    void no_drawn_history_passes_the_limit()
+    // Starts, kills, planned stops, suspended machines, outages for all or some
+    // routers, lost and late heartbeats and bursts of requests, in any order.
+    // The views of single routers may be wrong, but the sum of their retries
+    // must stay within the limit.
+    void random_events_never_exceed_the_limit()
     {
         CPPUNIT_ASSERT(rc::check(
             []
             {
-                repeat_fleet here{{0.2, 600, {10'000}}};
-                here.call_time = {*rc::gen::inRange(1, 900)};
-                auto beat = 0;
+                retry_fleet sim{{0.2, 600, {10'000}}};
+                sim.call_time = {*rc::gen::inRange(1, 900)};
+                auto heartbeats = 0;
                 auto const lossy = *rc::gen::inRange(2, 9);
-                here.next_fate = [&]
+                sim.next_outcome = [&]
                 {
-                    beat += 1;
-                    return beat % lossy != 0 ? beat_fate::answered
-                           : beat % 2 == 0   ? beat_fate::late
-                                             : beat_fate::answer_lost;
+                    heartbeats += 1;
+                    return heartbeats % lossy != 0
+                               ? heartbeat_outcome::acknowledged
+                           : heartbeats % 2 == 0
+                               ? heartbeat_outcome::applied_late
+                               : heartbeat_outcome::response_lost;
                 };
-                here.start(*rc::gen::inRange<std::size_t>(1, 12));
+                sim.start(*rc::gen::inRange<std::size_t>(1, 12));
                 if (*rc::gen::inRange(0, 2) == 0)
                 {
-                    here.advance(a_minute);
+                    sim.advance(a_minute);
                 }
                 auto const events = *rc::gen::inRange(1, 14);
                 for (int i = 0; i < events; ++i)
                 {
-                    happen(here);
+                    apply_random_event(sim);
                     if (*rc::gen::inRange(0, 3) == 0)
                     {
-                        here.advance({*rc::gen::inRange(0, 50'000)});
+                        sim.advance({*rc::gen::inRange(0, 50'000)});
                     }
-                    here.run_rejecting({*rc::gen::inRange(100, 6'000)},
-                                       *rc::gen::inRange(0, 2));
+                    sim.run_while_rejecting({*rc::gen::inRange(100, 6'000)},
+                                            *rc::gen::inRange(0, 2));
                 }
-                RC_ASSERT(here.worst_excess() <= 0.0);
+                RC_ASSERT(sim.max_excess() <= 0.0);
             }));
     }
 };
--- a/tests/fleet/repeat_fleet.cpp
+++ b/tests/fleet/retry_fleet.cpp
@@ -1,4 +1,4 @@
-#include "fleet/repeat_fleet.hpp"
+#include "fleet/retry_fleet.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -11,12 +11,12 @@
 
 constexpr duration step_time{100};
 constexpr duration settling_time{60'000};
-/// A heartbeat whose answer is lost may count so much later.
-constexpr duration late_by{5'000};
+/// Delay until the store applies a late heartbeat.
+constexpr duration apply_delay{5'000};
 
 service_id const service{"orders"};
 
-/// How many of these lie in the closed span.
+/// The number of times in the closed interval from `first` to `last`.
 std::int64_t count_in(std::vector<std::int64_t> const& all, std::int64_t first,
                       std::int64_t last)
 {
@@ -27,15 +27,15 @@
 
 } // namespace
 
-repeat_fleet::repeat_fleet(retry_limit limit) : limit{limit}
+retry_fleet::retry_fleet(retry_limit limit) : limit{limit}
 {
 }
 
-std::size_t repeat_fleet::start()
+std::size_t retry_fleet::start()
 {
     auto const number = this->routers.size();
     process made{.id = {"r" + std::to_string(number)},
-                 .next_beat = this->time,
+                 .next_heartbeat = this->time,
                  .next_read = this->time,
                  .known = {},
                  .lease = {},
@@ -44,7 +44,7 @@
     return number;
 }
 
-void repeat_fleet::start(std::size_t count)
+void retry_fleet::start(std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i)
     {
@@ -52,18 +52,18 @@
     }
 }
 
-void repeat_fleet::start_settled(std::size_t count)
+void retry_fleet::start_settled(std::size_t count)
 {
     this->start(count);
     this->advance(settling_time);
 }
 
-void repeat_fleet::kill(std::size_t router)
+void retry_fleet::kill(std::size_t router)
 {
     this->routers[router].alive = false;
 }
 
-void repeat_fleet::kill_all()
+void retry_fleet::kill_all()
 {
     for (auto& one : this->routers)
     {
@@ -71,56 +71,56 @@
     }
 }
 
-void repeat_fleet::leave(std::size_t router)
+void retry_fleet::stop(std::size_t router)
 {
     auto& one = this->routers[router];
-    one.leaving = true;
+    one.stopping = true;
     if (this->store_up && one.can_write)
     {
         this->rows.erase(one.id);
     }
 }
 
-void repeat_fleet::suspend(std::size_t router, duration span)
+void retry_fleet::suspend(std::size_t router, duration span)
 {
     auto& one = this->routers[router];
     one.awake_at = std::max(one.awake_at, this->time) + span;
     one.suspended = one.suspended + span;
 }
 
-void repeat_fleet::set_store(bool up)
+void retry_fleet::set_store(bool up)
 {
     this->store_up = up;
 }
 
-void repeat_fleet::set_reads(std::size_t router, bool open)
+void retry_fleet::set_reads(std::size_t router, bool open)
 {
     this->routers[router].can_read = open;
 }
 
-void repeat_fleet::set_writes(std::size_t router, bool open)
+void retry_fleet::set_writes(std::size_t router, bool open)
 {
     this->routers[router].can_write = open;
 }
 
-bool repeat_fleet::runs(process const& one) const
+bool retry_fleet::is_running(process const& one) const
 {
     return one.alive && one.awake_at <= this->time;
 }
 
-instant repeat_fleet::monotonic(process const& one) const
+instant retry_fleet::monotonic(process const& one) const
 {
     return this->time - one.suspended;
 }
 
-void repeat_fleet::at(instant when, std::function<void()> run)
+void retry_fleet::schedule(instant when, std::function<void()> run)
 {
     this->calls.push_back({when, std::move(run)});
 }
 
-void repeat_fleet::beat(process& one)
+void retry_fleet::send_heartbeat(process& one)
 {
-    one.next_beat = this->monotonic(one) + heartbeat_interval;
+    one.next_heartbeat = this->monotonic(one) + heartbeat_interval;
     if (!this->store_up || !one.can_write)
     {
         return;
@@ -131,24 +131,24 @@
         this->version += 1;
         this->rows[id] = {id, "address of " + id.value, this->version};
     };
-    auto const fate = this->next_fate();
-    if (fate == beat_fate::late)
+    auto const outcome = this->next_outcome();
+    if (outcome == heartbeat_outcome::applied_late)
     {
-        this->at(this->time + late_by, apply);
+        this->schedule(this->time + apply_delay, apply);
         return;
     }
     apply();
-    if (fate == beat_fate::answered)
+    if (outcome == heartbeat_outcome::acknowledged)
     {
-        this->at(this->time + this->call_time,
-                 [this, &one, sent] {
-                     one.lease = renewed(one.lease, {sent, this->time},
-                                         this->limit.window);
-                 });
+        this->schedule(this->time + this->call_time,
+                       [this, &one, sent] {
+                           one.lease = renewed(one.lease, {sent, this->time},
+                                               this->limit.window);
+                       });
     }
 }
 
-void repeat_fleet::read(process& one)
+void retry_fleet::read_rows(process& one)
 {
     auto const now = this->monotonic(one);
     if (!this->store_up || !one.can_read)
@@ -162,31 +162,31 @@
     {
         all.push_back(row);
     }
-    this->at(
+    this->schedule(
         this->time + this->call_time,
         [this, &one, sent = this->time, all = std::move(all)]
         {
-            if (this->runs(one))
+            if (this->is_running(one))
             {
                 one.known = seen(std::move(one.known), all, {sent, this->time});
             }
         });
 }
 
-void repeat_fleet::drive(process& one)
+void retry_fleet::run_due_tasks(process& one)
 {
     auto const now = this->monotonic(one);
-    if (!one.leaving && now >= one.next_beat)
+    if (!one.stopping && now >= one.next_heartbeat)
     {
-        this->beat(one);
+        this->send_heartbeat(one);
     }
     if (now >= one.next_read)
     {
-        this->read(one);
+        this->read_rows(one);
     }
 }
 
-void repeat_fleet::step()
+void retry_fleet::step()
 {
     auto due = std::stable_partition(this->calls.begin(), this->calls.end(),
                                      [this](call const& one)
@@ -200,14 +200,14 @@
     }
     for (auto& one : this->routers)
     {
-        if (this->runs(one))
+        if (this->is_running(one))
         {
-            this->drive(one);
+            this->run_due_tasks(one);
         }
     }
 }
 
-void repeat_fleet::advance(duration span)
+void retry_fleet::advance(duration span)
 {
     auto const end = this->time + span;
     this->step();
@@ -218,10 +218,10 @@
     }
 }
 
-void repeat_fleet::request(std::size_t router, std::int64_t count)
+void retry_fleet::request(std::size_t router, std::int64_t count)
 {
     auto& one = this->routers[router];
-    if (!this->runs(one) || one.leaving)
+    if (!this->is_running(one) || one.stopping)
     {
         return;
     }
@@ -232,7 +232,7 @@
     }
 }
 
-void repeat_fleet::request(std::int64_t count)
+void retry_fleet::request(std::int64_t count)
 {
     for (auto const router : this->running())
     {
@@ -240,41 +240,41 @@
     }
 }
 
-std::int64_t repeat_fleet::sharers(process const& one) const
+std::int64_t retry_fleet::sharers(process const& one) const
 {
     return slack_sharers(one.known, one.lease, one.id, this->limit.window,
                          this->time);
 }
 
-void repeat_fleet::repeat_all()
+void retry_fleet::retry_all()
 {
     for (auto const router : this->running())
     {
         auto& one = this->routers[router];
         while (one.window.take(service, this->sharers(one), this->time))
         {
-            this->repeated.push_back(this->time.ms);
+            this->retried.push_back(this->time.ms);
         }
     }
 }
 
-void repeat_fleet::run_rejecting(duration span, std::int64_t count)
+void retry_fleet::run_while_rejecting(duration span, std::int64_t count)
 {
     auto const end = this->time + span;
     while (this->time < end)
     {
         this->advance(step_time);
         this->request(count);
-        this->repeat_all();
+        this->retry_all();
     }
 }
 
-std::vector<std::size_t> repeat_fleet::running() const
+std::vector<std::size_t> retry_fleet::running() const
 {
     std::vector<std::size_t> all;
     for (std::size_t i = 0; i < this->routers.size(); ++i)
     {
-        if (this->runs(this->routers[i]) && !this->routers[i].leaving)
+        if (this->is_running(this->routers[i]) && !this->routers[i].stopping)
         {
             all.push_back(i);
         }
@@ -282,45 +282,45 @@
     return all;
 }
 
-std::int64_t repeat_fleet::repeats() const
+std::int64_t retry_fleet::retries() const
 {
-    return std::ssize(this->repeated);
+    return std::ssize(this->retried);
 }
 
-instant repeat_fleet::now() const
+instant retry_fleet::now() const
 {
     return this->time;
 }
 
-/// The requests that count are those of the window, of the one before it or of
-/// the one half a window before it, whichever are most.
-double repeat_fleet::excess_from(std::int64_t first) const
+/// Counts the requests of the window, of the one before it or of the one half a
+/// window before it, whichever are most.
+double retry_fleet::excess_from(std::int64_t first) const
 {
     auto const span = this->limit.window.ms;
     auto const most = std::max(
         {count_in(this->requested, first, first + span),
          count_in(this->requested, first - span, first),
          count_in(this->requested, first - span / 2, first + span / 2)});
-    auto const taken = count_in(this->repeated, first, first + span);
+    auto const taken = count_in(this->retried, first, first + span);
     return static_cast<double>(taken) - this->limit.slack -
            this->limit.ratio * static_cast<double>(most);
 }
 
-double repeat_fleet::worst_excess() const
+double retry_fleet::max_excess() const
 {
     auto worst = -this->limit.slack;
-    if (this->repeated.empty())
+    if (this->retried.empty())
     {
         return worst;
     }
     auto const span = this->limit.window.ms;
-    for (auto at = this->repeated.front() - span; at <= this->repeated.back();
+    for (auto at = this->retried.front() - span; at <= this->retried.back();
          at += step_time.ms / 2)
     {
         worst = std::max(worst, this->excess_from(at));
     }
     std::optional<std::int64_t> before;
-    for (auto const at : this->repeated)
+    for (auto const at : this->retried)
     {
         if (before != at)
         {
--- a/tests/fleet/rules_test.cpp
+++ b/tests/fleet/rules_test.cpp
@@ -9,28 +9,29 @@
 using namespace caperpath;
 using namespace caperpath::fleet;
 
-/// The small rules of the core: attempts, repeats, events, the roster.
+/// The small rules of the core: attempts, retries, events, membership.
 class rules_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(rules_test);
-    CPPUNIT_TEST(an_order_in_doubt_is_never_sent_again);
-    CPPUNIT_TEST(not_run_is_said_only_when_nothing_can_have_run);
-    CPPUNIT_TEST(a_request_that_may_repeat_moves_on_within_its_servers);
-    CPPUNIT_TEST(repeats_of_all_routers_stay_within_the_limit);
-    CPPUNIT_TEST(events_are_passed_on_whole_however_they_are_cut);
-    CPPUNIT_TEST(a_half_event_is_held_back);
-    CPPUNIT_TEST(a_router_without_heartbeats_is_counted_out);
-    CPPUNIT_TEST(an_outage_counts_no_router_out);
-    CPPUNIT_TEST(the_row_of_a_dead_router_is_removed_by_one_of_the_others);
-    CPPUNIT_TEST(routers_that_start_together_do_not_write_together);
-    CPPUNIT_TEST(of_two_lives_at_an_address_the_later_one_is_alive);
+    CPPUNIT_TEST(an_order_with_unknown_outcome_is_never_retried);
+    CPPUNIT_TEST(not_run_is_reported_only_if_nothing_can_have_run);
+    CPPUNIT_TEST(
+        an_idempotent_request_is_retried_on_a_limited_number_of_servers);
+    CPPUNIT_TEST(retries_of_all_routers_stay_within_the_limit);
+    CPPUNIT_TEST(events_split_anywhere_are_forwarded_complete);
+    CPPUNIT_TEST(an_incomplete_event_is_not_forwarded);
+    CPPUNIT_TEST(a_router_without_heartbeats_is_not_counted);
+    CPPUNIT_TEST(all_routers_count_after_an_outage);
+    CPPUNIT_TEST(the_row_of_a_dead_router_is_removed_by_one_live_router);
+    CPPUNIT_TEST(routers_that_start_together_write_at_different_times);
+    CPPUNIT_TEST(of_two_incarnations_at_an_address_the_later_is_live);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant start{100'000};
 
-    // An engine takes an order and the connection breaks before it answers.
-    // Sent again, the order would be placed twice and paid twice.
-    void an_order_in_doubt_is_never_sent_again()
+    // An engine accepts an order and the connection breaks before its response.
+    // A retry would place the order, and charge for it, twice.
+    void an_order_with_unknown_outcome_is_never_retried()
     {
         attempt_state state;
         state.kind = request_kind::non_idempotent;
@@ -45,9 +46,9 @@
         CPPUNIT_ASSERT(may_send_again(state, attempt_end::in_doubt));
     }
 
-    // A caller that is told "not run" sends its order again. If it had run, the
-    // customer gets two.
-    void not_run_is_said_only_when_nothing_can_have_run()
+    // A caller that receives "not run" retries its order. If the order had run,
+    // it would be placed twice.
+    void not_run_is_reported_only_if_nothing_can_have_run()
     {
         attempt_state state;
         state.sends = 2;
@@ -58,7 +59,7 @@
         CPPUNIT_ASSERT_EQUAL(504, final_status(state, attempt_end::expired));
     }
 
-    void a_request_that_may_repeat_moves_on_within_its_servers()
+    void an_idempotent_request_is_retried_on_a_limited_number_of_servers()
     {
         attempt_state state;
         state.kind = request_kind::idempotent;
@@ -69,13 +70,13 @@
         state.runs = 2;
         CPPUNIT_ASSERT(!may_send_again(state, attempt_end::failed));
         state.runs = 0;
-        state.sends = most_sends;
+        state.sends = max_sends;
         CPPUNIT_ASSERT(!may_send_again(state, attempt_end::not_reached));
     }
 
     // Engines fail a part of their requests. Without a limit for all routers
-    // together the repeats alone keep the engines overloaded.
-    void repeats_of_all_routers_stay_within_the_limit()
+    // together, retries alone would keep the engines overloaded.
+    void retries_of_all_routers_stay_within_the_limit()
     {
         CPPUNIT_ASSERT(rc::check(
             []
@@ -104,7 +105,7 @@
             }));
     }
 
-    void events_are_passed_on_whole_however_they_are_cut()
+    void events_split_anywhere_are_forwarded_complete()
     {
         CPPUNIT_ASSERT(rc::check(
             []
@@ -113,26 +114,27 @@
                     "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
                     "id: 3\ndata: c\ndata: d\n\n";
                 event_scan scan;
-                std::string passed;
+                std::string forwarded;
                 for (std::size_t at = 0; at < all.size();)
                 {
                     auto const size =
                         static_cast<std::size_t>(*rc::gen::inRange(1, 12));
-                    passed += scan.feed(std::string_view{all}.substr(at, size));
-                    RC_ASSERT(passed.empty() || passed.ends_with("\n"));
+                    forwarded +=
+                        scan.feed(std::string_view{all}.substr(at, size));
+                    RC_ASSERT(forwarded.empty() || forwarded.ends_with("\n"));
                     at += size;
                 }
-                RC_ASSERT(passed == all);
+                RC_ASSERT(forwarded == all);
                 RC_ASSERT(scan.last_id() == "3");
                 RC_ASSERT(scan.events() == 3);
                 RC_ASSERT(scan.take_rest().empty());
             }));
     }
 
-    // An engine stops in the middle of an event, and another one goes on after
-    // the last whole event. Had the half been passed on, the caller would read
-    // a mix of both.
-    void a_half_event_is_held_back()
+    // An engine stops in the middle of an event, and another one resumes after
+    // the last complete event. If the first half were forwarded, the caller
+    // would read a mix of both.
+    void an_incomplete_event_is_not_forwarded()
     {
         event_scan scan;
         CPPUNIT_ASSERT_EQUAL(std::string{"id: 1\ndata: a\n\n"},
@@ -143,9 +145,9 @@
                              scan.feed("id: 2\ndata: c\n\n"));
     }
 
-    // A router loses power. Counted for ever, its part of the fleet's repeats
-    // would be lost to the others.
-    void a_router_without_heartbeats_is_counted_out()
+    // A router loses power. If it counted for ever, the others could not use
+    // its part of the retry allowance.
+    void a_router_without_heartbeats_is_not_counted()
     {
         std::vector<heartbeat> rows{{{"a"}, "x", 1}, {{"b"}, "y", 2}};
         auto known = seen({}, rows, {start, start});
@@ -168,11 +170,10 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, alive({}));
     }
 
-    // The store is away for a minute, so that no heartbeat is written and none
-    // is read. Aged by the clock, all rows would look dead at its return: each
-    // router would deal budgets as if it were alone, and remove the others'
-    // rows.
-    void an_outage_counts_no_router_out()
+    // No heartbeat is written or read in an outage of the store of one minute.
+    // If rows aged by the clock, all would count as dead after it: each router
+    // would allocate budgets as if it were alone and remove the other rows.
+    void all_routers_count_after_an_outage()
     {
         for (std::size_t const routers : {9, 81, 390})
         {
@@ -189,7 +190,7 @@
             CPPUNIT_ASSERT_EQUAL(count, alive(known));
             CPPUNIT_ASSERT_EQUAL(count, alive_vms(known));
             CPPUNIT_ASSERT(dead(known, {"r0"}).empty());
-            // One of them does not come back; the others beat again.
+            // One router does not return; the others send heartbeats again.
             auto at = back;
             while (at < back + read_interval(known) + member_lifetime)
             {
@@ -204,10 +205,10 @@
         }
     }
 
-    // Forty routers are killed and start anew. A minute later each of the new
-    // ones finds forty old rows: were all to remove all of them, the store
-    // would get 1,600 writes at once and refuse other calls for too many.
-    void the_row_of_a_dead_router_is_removed_by_one_of_the_others()
+    // Forty routers are killed and restart. A minute later each new one finds
+    // forty old rows. If each removed them all, the store would get 1,600
+    // writes at once and reject other calls.
+    void the_row_of_a_dead_router_is_removed_by_one_live_router()
     {
         std::vector<heartbeat> rows;
         for (int i = 0; i < 40; ++i)
@@ -241,9 +242,9 @@
         }
     }
 
-    // Guards against a large fleet whose heartbeats meet in their one
-    // partition of the store, which takes 200 writes a second, and time out.
-    void routers_that_start_together_do_not_write_together()
+    // Guards against a large fleet whose heartbeats time out because they are
+    // written together: their partition takes 200 writes a second.
+    void routers_that_start_together_write_at_different_times()
     {
         std::map<std::int64_t, int> in_second;
         for (int i = 0; i < 295; ++i)
@@ -259,8 +260,8 @@
         }
     }
 
-    // Guards against tokens that are sent to the process before.
-    void of_two_lives_at_an_address_the_later_one_is_alive()
+    // Guards against sending tokens to the previous process.
+    void of_two_incarnations_at_an_address_the_later_is_live()
     {
         auto const known = seen({},
                                 {{{"a-1"}, "10.0.0.1:7", 5},
--- a/tests/fleet/server_table_test.cpp
+++ b/tests/fleet/server_table_test.cpp
@@ -8,14 +8,14 @@
 class server_table_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(server_table_test);
-    CPPUNIT_TEST(a_server_whose_entry_goes_takes_no_new_work);
-    CPPUNIT_TEST(entries_that_lapse_with_the_store_may_come_back);
-    CPPUNIT_TEST(an_entry_that_stays_away_after_an_outage_is_gone);
-    CPPUNIT_TEST(a_server_that_starts_again_under_its_id_is_a_new_one);
-    CPPUNIT_TEST(a_server_that_cannot_be_reached_is_left_out_for_a_time);
-    CPPUNIT_TEST(a_replaced_server_gets_nothing_until_it_is_listed_anew);
-    CPPUNIT_TEST(a_server_with_open_requests_is_not_swept);
-    CPPUNIT_TEST(an_entry_that_goes_late_in_an_outage_s_wake_is_not_kept_long);
+    CPPUNIT_TEST(a_server_without_an_entry_gets_no_new_requests);
+    CPPUNIT_TEST(entries_that_lapse_in_an_outage_may_return);
+    CPPUNIT_TEST(an_entry_that_does_not_return_after_an_outage_is_gone);
+    CPPUNIT_TEST(a_server_that_restarts_under_its_id_is_new);
+    CPPUNIT_TEST(an_unreachable_server_is_excluded_for_a_time);
+    CPPUNIT_TEST(a_replaced_server_gets_no_requests_until_listed_again);
+    CPPUNIT_TEST(a_server_with_open_requests_is_not_removed);
+    CPPUNIT_TEST(an_entry_removed_after_an_outage_is_not_kept_long);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant start{100'000};
@@ -31,77 +31,76 @@
         return one;
     }
 
-    static server_table with_one()
+    static server_table table_with_one_server()
     {
         server_table table;
         list_server(table, entry("a"), start);
         return table;
     }
 
-    static server const& a_of(server_table const& table)
+    static server const& server_a(server_table const& table)
     {
         return table.servers.at({"a"});
     }
 
-    // A server that is about to stop removes its entry. Work sent to it after
-    // that is cut off when it ends, and its caller waits for nothing.
-    void a_server_whose_entry_goes_takes_no_new_work()
+    // A server removes its entry before it stops. A request sent after that is
+    // cut off when the server ends, and its caller gets no response.
+    void a_server_without_an_entry_gets_no_new_requests()
     {
-        auto table = with_one();
-        CPPUNIT_ASSERT(usable(a_of(table), start));
+        auto table = table_with_one_server();
+        CPPUNIT_ASSERT(usable(server_a(table), start));
         unlist_server(table, {"a"}, start);
-        CPPUNIT_ASSERT(!usable(a_of(table), start));
+        CPPUNIT_ASSERT(!usable(server_a(table), start));
     }
 
-    // While the store is away its entries lapse, though the servers live. If
-    // all of them were taken for gone, every caller would be refused.
-    void entries_that_lapse_with_the_store_may_come_back()
+    // Entries lapse during an outage of the store although the servers live.
+    // If they counted as gone, every request would be rejected.
+    void entries_that_lapse_in_an_outage_may_return()
     {
-        auto table = with_one();
+        auto table = table_with_one_server();
         note_store(table, false, start);
         auto const back = start + duration{5'000};
         note_store(table, true, back);
         unlist_server(table, {"a"}, back);
-        CPPUNIT_ASSERT(usable(a_of(table), back));
+        CPPUNIT_ASSERT(usable(server_a(table), back));
         list_server(table, entry("a"), back + duration{1'500});
-        CPPUNIT_ASSERT(usable(a_of(table), back + duration{60'000}));
+        CPPUNIT_ASSERT(usable(server_a(table), back + duration{60'000}));
     }
 
-    // A server crashed during the outage, so its entry does not come back. A
-    // router that went on to believe in it would send callers to a dead
-    // address.
-    void an_entry_that_stays_away_after_an_outage_is_gone()
+    // A server crashes during the outage, so its entry does not return. A
+    // router that kept it would send requests to a dead address.
+    void an_entry_that_does_not_return_after_an_outage_is_gone()
     {
-        auto table = with_one();
+        auto table = table_with_one_server();
         note_store(table, false, start);
         auto const back = start + duration{5'000};
         note_store(table, true, back);
         unlist_server(table, {"a"}, back);
         auto const later = back + entry_return_time;
-        CPPUNIT_ASSERT(!usable(a_of(table), later));
+        CPPUNIT_ASSERT(!usable(server_a(table), later));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                              sweep_servers(table, later).size());
     }
 
-    // An engine crashes and starts again under the same id. It knows nothing of
-    // before; a router that still held its failures against it would leave a
-    // good engine out while callers are refused.
-    void a_server_that_starts_again_under_its_id_is_a_new_one()
+    // An engine crashes and restarts under the same id. A router that kept the
+    // failures of the old process would exclude a healthy engine while requests
+    // are rejected.
+    void a_server_that_restarts_under_its_id_is_new()
     {
-        auto table = with_one();
+        auto table = table_with_one_server();
         note_failure(table.servers.at({"a"}), true, start);
-        CPPUNIT_ASSERT(!usable(a_of(table), start));
+        CPPUNIT_ASSERT(!usable(server_a(table), start));
         CPPUNIT_ASSERT(!list_server(table, entry("a", 1), start));
-        CPPUNIT_ASSERT(!usable(a_of(table), start));
+        CPPUNIT_ASSERT(!usable(server_a(table), start));
         CPPUNIT_ASSERT(list_server(table, entry("a", 2), start));
-        CPPUNIT_ASSERT(usable(a_of(table), start));
+        CPPUNIT_ASSERT(usable(server_a(table), start));
     }
 
-    // A server loses power. Each request sent to it waits for a connection that
-    // never comes, and the caller sees the delay.
-    void a_server_that_cannot_be_reached_is_left_out_for_a_time()
+    // A server loses power. Each request sent to it waits until the connect
+    // times out, which delays the caller.
+    void an_unreachable_server_is_excluded_for_a_time()
     {
-        auto table = with_one();
+        auto table = table_with_one_server();
         auto& one = table.servers.at({"a"});
         note_failure(one, true, start);
         CPPUNIT_ASSERT(!usable(one, start + duration{399}));
@@ -112,11 +111,11 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, one.failures);
     }
 
-    // Guards against a server that has ended in an outage of the store and is
-    // asked again every second until its end can be read.
-    void a_replaced_server_gets_nothing_until_it_is_listed_anew()
+    // Guards against retrying a server that ended in an outage of the store
+    // every second until the store shows that it is gone.
+    void a_replaced_server_gets_no_requests_until_listed_again()
     {
-        auto table = with_one();
+        auto table = table_with_one_server();
         auto& one = table.servers.at({"a"});
         note_replaced(one, start);
         CPPUNIT_ASSERT(!usable(one, start + duration{10'000}));
@@ -125,9 +124,9 @@
             usable(table.servers.at({"a"}), start + duration{1'000}));
     }
 
-    void a_server_with_open_requests_is_not_swept()
+    void a_server_with_open_requests_is_not_removed()
     {
-        auto table = with_one();
+        auto table = table_with_one_server();
         table.servers.at({"a"}).own.open = 1;
         unlist_server(table, {"a"}, start);
         CPPUNIT_ASSERT(sweep_servers(table, start).empty());
@@ -136,11 +135,10 @@
                              sweep_servers(table, start).size());
     }
 
-    // The store was out of reach of this router alone. 1.5 s after it is back a
-    // server leaves, and its entry goes. Kept for as long as an entry that
-    // lapsed in the outage, counted from then, the server got requests more
-    // than two seconds after it had left.
-    void an_entry_that_goes_late_in_an_outage_s_wake_is_not_kept_long()
+    // Only this router could not reach the store. 1.5 s after the outage a
+    // server removes its entry to drain. If the return time counted from that
+    // moment, the server would get requests more than two seconds later.
+    void an_entry_removed_after_an_outage_is_not_kept_long()
     {
         server_table table;
         server_entry one;
--- a/tests/fleet/shutdown_test.cpp
+++ b/tests/fleet/shutdown_test.cpp
@@ -12,27 +12,27 @@
 using namespace caperpath;
 using namespace caperpath::fleet;
 
-/// The deadlines of a planned stop, and what may begin before them.
+/// The deadlines of a planned stop, and which requests may start before them.
 class fleet_shutdown_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(fleet_shutdown_test);
     CPPUNIT_TEST(deadlines_follow_each_other_within_the_grace_time);
-    CPPUNIT_TEST(work_that_outlasts_the_answers_is_not_begun);
-    CPPUNIT_TEST(work_of_unknown_length_is_begun_early_in_a_stop);
+    CPPUNIT_TEST(requests_that_end_too_late_are_not_started);
+    CPPUNIT_TEST(requests_of_unknown_duration_are_started_early_in_a_stop);
     CPPUNIT_TEST(a_process_does_not_end_with_requests_open);
     CPPUNIT_TEST(a_process_ends_before_it_is_killed);
-    CPPUNIT_TEST(idle_connections_do_not_hold_the_end_back);
-    CPPUNIT_TEST(a_late_loop_counts_from_the_signal);
-    CPPUNIT_TEST(tokens_of_the_last_requests_are_waited_for);
-    CPPUNIT_TEST(the_usual_longest_time_covers_most_requests);
-    CPPUNIT_TEST(old_times_are_forgotten);
-    CPPUNIT_TEST(routes_that_are_not_used_make_room);
+    CPPUNIT_TEST(idle_connections_do_not_delay_the_end);
+    CPPUNIT_TEST(deadlines_of_a_late_event_loop_count_from_the_signal);
+    CPPUNIT_TEST(the_process_waits_for_the_return_of_tokens);
+    CPPUNIT_TEST(the_high_percentile_covers_most_requests);
+    CPPUNIT_TEST(old_observations_expire);
+    CPPUNIT_TEST(unused_routes_are_evicted);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant start{50'000};
     static constexpr duration grace{8'000};
 
-    // Guards against a part of the stop that has no time left.
+    // Guards against a stage of the stop with no time left.
     void deadlines_follow_each_other_within_the_grace_time()
     {
         rc::check(
@@ -51,15 +51,16 @@
             });
     }
 
-    // Guards against a request that is taken and cut by the process's end.
-    void work_that_outlasts_the_answers_is_not_begun()
+    // Guards against accepting a request that the end of the process cuts off.
+    void requests_that_end_too_late_are_not_started()
     {
         rc::check(
-            [](std::uint16_t at, std::uint16_t expected, std::uint16_t patience)
+            [](std::uint16_t at, std::uint16_t expected,
+               std::uint16_t time_left)
             {
                 auto const stop = schedule_shutdown(start, grace);
                 auto const now = start + duration{at % grace.ms};
-                auto const deadline = now + duration{patience};
+                auto const deadline = now + duration{time_left};
                 auto const begins =
                     may_begin(stop, now, duration{expected}, deadline);
                 auto const ends = std::min(now + duration{expected}, deadline);
@@ -68,8 +69,9 @@
             });
     }
 
-    // Guards against a router that has just started and sends all away.
-    void work_of_unknown_length_is_begun_early_in_a_stop()
+    // Guards against a router that rejects every request because it has just
+    // started and has not observed any service time.
+    void requests_of_unknown_duration_are_started_early_in_a_stop()
     {
         auto const stop = schedule_shutdown(start, grace);
         auto const late = stop.answers_due + duration{1};
@@ -81,7 +83,7 @@
         CPPUNIT_ASSERT(!may_begin(stop, start, duration{30'000}, late));
     }
 
-    // Guards against open requests that are lost with their process.
+    // Guards against losing open requests with their process.
     void a_process_does_not_end_with_requests_open()
     {
         auto const stop = schedule_shutdown(start, grace);
@@ -92,7 +94,7 @@
         }
     }
 
-    // Guards against a process that waits for something until it is killed.
+    // Guards against a process that waits until it is killed.
     void a_process_ends_before_it_is_killed()
     {
         auto const stop = schedule_shutdown(start, grace);
@@ -101,8 +103,8 @@
         CPPUNIT_ASSERT(stop.exit_due < start + grace);
     }
 
-    // Guards against callers that keep their connections and hold up the end.
-    void idle_connections_do_not_hold_the_end_back()
+    // Guards against callers that delay the end by keeping connections open.
+    void idle_connections_do_not_delay_the_end()
     {
         auto const stop = schedule_shutdown(start, grace);
         shutdown_work const idle{false, true, std::nullopt};
@@ -113,7 +115,7 @@
     }
 
     // Guards against tokens left in the share of a process that has ended.
-    void tokens_of_the_last_requests_are_waited_for()
+    void the_process_waits_for_the_return_of_tokens()
     {
         auto const stop = schedule_shutdown(start, grace);
         auto const soon = stop.answers_due + duration{100};
@@ -126,9 +128,9 @@
         CPPUNIT_ASSERT(may_exit(stop, soon, {}));
     }
 
-    // Guards against deadlines after the kill, when a busy loop sees the signal
-    // late.
-    void a_late_loop_counts_from_the_signal()
+    // Guards against deadlines after the kill if a busy event loop handles the
+    // signal late.
+    void deadlines_of_a_late_event_loop_count_from_the_signal()
     {
         constexpr duration interval{100};
         auto const now = start + duration{5'000};
@@ -138,8 +140,8 @@
         CPPUNIT_ASSERT(signal_time(late, now, interval) == late);
     }
 
-    // Guards against an estimate below what most requests take.
-    void the_usual_longest_time_covers_most_requests()
+    // Guards against an estimate below the duration of most requests.
+    void the_high_percentile_covers_most_requests()
     {
         rc::check(
             []
@@ -163,8 +165,8 @@
             });
     }
 
-    // Guards against requests refused for how slow a route was long ago.
-    void old_times_are_forgotten()
+    // Guards against rejecting requests because a route was slow long ago.
+    void old_observations_expire()
     {
         service_times observed;
         for (int i = 0; i < 20; ++i)
@@ -181,8 +183,8 @@
         CPPUNIT_ASSERT(!observed.usual_longest("other"));
     }
 
-    // Guards against memory that grows with the routes ever configured.
-    void routes_that_are_not_used_make_room()
+    // Guards against memory that grows with every route ever configured.
+    void unused_routes_are_evicted()
     {
         service_times observed;
         for (int i = 0; i < 3'000; ++i)
--- a/tests/fleet/site_test.cpp
+++ b/tests/fleet/site_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(the_longest_prefix_of_the_host_wins);
     CPPUNIT_TEST(a_host_matches_in_any_case_and_with_a_port);
     CPPUNIT_TEST(a_key_finds_its_customer);
-    CPPUNIT_TEST(services_are_drawn_by_weight);
+    CPPUNIT_TEST(services_are_chosen_by_weight);
     CPPUNIT_TEST_SUITE_END();
 
     static route make_route(std::string name, std::string host,
@@ -42,32 +42,32 @@
 
     void the_longest_prefix_of_the_host_wins()
     {
-        auto const here = make_site();
+        auto const config = make_site();
         CPPUNIT_ASSERT_EQUAL(std::string{"long"},
-                             here.find_route("a.example", "/x/y/z")->name);
+                             config.find_route("a.example", "/x/y/z")->name);
         CPPUNIT_ASSERT_EQUAL(std::string{"short"},
-                             here.find_route("a.example", "/x/z")->name);
-        CPPUNIT_ASSERT(here.find_route("a.example", "/x") == nullptr);
-        CPPUNIT_ASSERT(here.find_route("c.example", "/x/") == nullptr);
+                             config.find_route("a.example", "/x/z")->name);
+        CPPUNIT_ASSERT(config.find_route("a.example", "/x") == nullptr);
+        CPPUNIT_ASSERT(config.find_route("c.example", "/x/") == nullptr);
     }
 
     void a_host_matches_in_any_case_and_with_a_port()
     {
-        auto const here = make_site();
+        auto const config = make_site();
         CPPUNIT_ASSERT_EQUAL(std::string{"other"},
-                             here.find_route("B.Example:80", "/x/1")->name);
+                             config.find_route("B.Example:80", "/x/1")->name);
     }
 
     void a_key_finds_its_customer()
     {
-        auto const here = make_site();
+        auto const config = make_site();
         CPPUNIT_ASSERT_EQUAL(std::string{"c"},
-                             here.find_customer("k2")->id.value);
-        CPPUNIT_ASSERT(here.find_customer("") == nullptr);
-        CPPUNIT_ASSERT(here.find_customer("k3") == nullptr);
+                             config.find_customer("k2")->id.value);
+        CPPUNIT_ASSERT(config.find_customer("") == nullptr);
+        CPPUNIT_ASSERT(config.find_customer("k3") == nullptr);
     }
 
-    void services_are_drawn_by_weight()
+    void services_are_chosen_by_weight()
     {
         CPPUNIT_ASSERT(rc::check(
             []
