--- a/include/caperpath/controllers/backend_controller.hpp
+++ b/include/caperpath/controllers/backend_controller.hpp
@@ -17,7 +17,7 @@
 namespace caperpath::controllers
 {
 
-/// What the view of backend servers depends on.
+/// Settings of the backend controller.
 struct backend_options
 {
     clock time;
@@ -25,7 +25,7 @@
     failure_domain_id own_failure_domain;
 };
 
-/// What a backend server reported about its load, or that it did not answer.
+/// The load a backend server reported, or that it did not respond.
 struct load_report
 {
     backend_server_id id;
@@ -33,31 +33,33 @@
     std::int64_t running{};
     std::int64_t queued{};
     std::int64_t slots{};
-    duration age; ///< how old it was when it came
+    duration age; ///< age of the report when it was received
     bool leaving{false};
 
     friend bool operator==(load_report const&, load_report const&) = default;
 };
 
-/// Starts the actor that owns this router's view of all backend servers. It
-/// takes `std::shared_ptr<config::document const>` (a newer configuration) and
-/// `load_report` as messages. Thread safe.
+/// Starts the actor that owns this router's view of all backend servers. Update
+/// it with `send_configuration` and `send_load_report`. Thread safe.
 caf::actor spawn_backend_controller(caf::actor_system& system,
                                     backend_options options);
 
-/// A port to it. Thread safe. @pre `system` outlives the port
+/// Returns a port to the controller. If the controller does not reply within
+/// 1 s, `choose` returns `none_usable`. Thread safe.
+/// @pre `system` outlives the port
 routing::backend_port make_backend_port(caf::actor_system& system,
                                         caf::actor const& controller);
 
-/// The view as it is now, for `/healthz` and for pollers. Thread safe.
+/// Returns the current view, for `/healthz` and for pollers; empty if the
+/// controller does not reply within 1 s. Blocks. Thread safe.
 std::vector<routing::backend_view> list_backends(caf::actor_system& system,
                                                  caf::actor const& controller);
 
-/// Hands the controller a newer configuration. Thread safe.
+/// Sends the controller a newer configuration. Thread safe.
 void send_configuration(caf::actor const& controller,
                         std::shared_ptr<config::document const> document);
 
-/// Hands the controller a load report. Thread safe.
+/// Sends the controller a load report. Thread safe.
 void send_load_report(caf::actor const& controller, load_report report);
 
 } // namespace caperpath::controllers
--- a/include/caperpath/controllers/budget_controller.hpp
+++ b/include/caperpath/controllers/budget_controller.hpp
@@ -17,7 +17,7 @@
 namespace caperpath::controllers
 {
 
-/// What the controller of all budgets at one router needs. Made by
+/// Settings of the controller of all budgets at one router. Built by
 /// `budget_options_builder`.
 struct budget_options
 {
@@ -27,13 +27,13 @@
     store::port platform;
     caperpath::clock clock{caperpath::clock::monotonic()};
     budget::settle_options settle;
-    /// Replace the sizes of a budget's policy when set.
+    /// Overrides the sizes of the budget's policy if set.
     std::optional<budget::sizing> sizes;
     std::size_t workers{4};          ///< threads that call the platform
-    duration tick{10};               ///< how often time is looked at
-    duration sweep_interval{10'000}; ///< between looks for dead holders
-    duration list_lag{30'000}; ///< how long a VM must be missing from the list
-    duration durable_wait{2'000}; ///< the longest that `finish` blocks
+    duration tick{10};               ///< interval of timers and retries
+    duration sweep_interval{10'000}; ///< between checks for dead holders
+    duration list_lag{30'000};       ///< a VM missing for that long is gone
+    duration durable_wait{2'000};    ///< longest time that `finish` blocks
 };
 
 /// Builds `budget_options`. Not thread safe.
@@ -52,7 +52,7 @@
     budget_options_builder& with_workers(std::size_t count);
     budget_options_builder& with_tick(duration tick);
     budget_options_builder& with_durable_wait(duration wait);
-    /// @pre `list_lag` is longer than the platform's list can lag.
+    /// @pre `list_lag` exceeds the longest lag of the platform's VM list.
     budget_options_builder& with_sweep(duration interval, duration list_lag);
 
     budget_options build() const;
@@ -65,9 +65,9 @@
 struct budget_status
 {
     budget_id budget;
-    token_count paid{};      ///< as last seen
-    token_count ungranted{}; ///< as last seen
-    token_count granted{};   ///< the share of this router
+    token_count paid{};      ///< as last read
+    token_count ungranted{}; ///< as last read
+    token_count granted{};   ///< this router's share
     token_count free{};
     token_count reserved{};
     token_count unsettled{};
@@ -84,7 +84,7 @@
 {
     std::vector<budget_status> budgets;
     std::size_t unsettled_bills{};
-    /// True once stopped with nothing left behind.
+    /// True once stopped, with all bills settled and all shares returned.
     bool clean{false};
 
     friend bool operator==(budget_report const&,
@@ -92,25 +92,27 @@
 };
 
 /// Starts the actor that owns the state of all budgets at this router, and its
-/// workers. It binds the holder row at once and again until that succeeds;
-/// until then reservations wait. Thread safe. @pre call `stop_budgets` before
-/// `system` ends.
+/// workers. It retries binding the holder row until that succeeds; until then
+/// reservations wait. Thread safe.
+/// @pre `stop_budgets` is called before `system` ends
 caf::actor spawn_budget_controller(caf::actor_system& system,
                                    budget_options options);
 
-/// The functions that request filters call, from any thread. `system` must
-/// outlive the port.
+/// Returns the port that the request filters call. Thread safe.
+/// @pre `system` outlives the port
 budget::port make_budget_port(caf::actor_system& system,
                               caf::actor const& controller);
 
-/// What the controller holds now. Thread safe; blocks.
+/// Returns the controller's current state; empty if it does not reply within
+/// 5 s. Thread safe; blocks.
 budget_report report_budgets(caf::actor_system& system,
                              caf::actor const& controller);
 
-/// Admits nothing more, settles every bill, returns the shares, closes the
-/// holder row and ends the actor; gives up after `bound`. What the report still
-/// shows was left behind: a recovery takes it back. Reservations that are open
-/// keep their budget from closing, so finish them first. Thread safe; blocks.
+/// Stops admitting, settles every bill, returns the shares, closes the holder
+/// row and ends the actor; gives up after `bound`. The report shows what was
+/// not returned; recovery by another router returns it. An open reservation
+/// keeps its budget from closing, so finish reservations first. Thread safe;
+/// blocks.
 budget_report stop_budgets(caf::actor_system& system,
                            caf::actor const& controller, duration bound);
 
--- a/include/caperpath/controllers/claim_controller.hpp
+++ b/include/caperpath/controllers/claim_controller.hpp
@@ -16,7 +16,7 @@
 namespace caperpath::controllers
 {
 
-/// What the controller of all claims at one router needs. Immutable value.
+/// Settings of the controller of all claims at one router. Immutable value.
 struct claim_controller_options
 {
     incarnation_id incarnation;
@@ -26,51 +26,52 @@
     clock wall{clock::wall()};
     std::uint64_t seed{1};       ///< of the jitter
     std::size_t workers{4};      ///< threads that call the platform
-    duration tick{20};           ///< how often unfinished ends are looked at
-    duration finish_wait{2'000}; ///< the longest that `finish` blocks
-    /// Finished claims that this process still knows, to delete them in time;
-    /// the oldest are forgotten beyond this and stay in the table.
+    duration tick{20};           ///< interval of timers and retries
+    duration finish_wait{2'000}; ///< longest time that `finish` blocks
+    /// Number of finished claims that this process tracks in order to delete
+    /// them later. Beyond it the oldest are dropped and stay in the table.
     std::size_t most_kept{100'000};
 };
 
-/// What claims look like now, or were left like by `stop`. Immutable value.
+/// Numbers of claims now, or when `stop` ended. Immutable value.
 struct claim_report
 {
-    std::size_t open{};     ///< of requests that run
-    std::size_t pending{};  ///< ended, and not written yet
-    std::size_t doubtful{}; ///< may stand in the table without a runner
-    std::size_t kept{};     ///< to be deleted when their time is over
+    std::size_t open{};     ///< of running requests
+    std::size_t pending{};  ///< ended, but the end is not yet written
+    std::size_t doubtful{}; ///< may be in the table without a runner
+    std::size_t kept{};     ///< to be deleted after their retention
 
     friend bool operator==(claim_report const&, claim_report const&) = default;
 };
 
-/// The claims of one router: an actor owns them, and its workers call the
-/// platform. Its holder row (see budget/rows.hpp) must have been bound or be
-/// bound soon: until then claims wait. Functions are thread safe.
+/// The claims of one router. An actor owns them, and its workers call the
+/// platform. Claims wait until the router's holder row (see budget/rows.hpp) is
+/// bound. Functions are thread safe.
 class claim_controller
 {
 public:
     /// @pre `system` outlives the controller.
     claim_controller(caf::actor_system& system,
                      claim_controller_options options);
-    /// Stops with a bound of 0 when `stop` was not called.
+    /// Stops with a bound of 0 if `stop` was not called.
     ~claim_controller();
 
     claim_controller(claim_controller const&) = delete;
     claim_controller& operator=(claim_controller const&) = delete;
 
-    /// For the request filters. @pre the controller outlives the port
+    /// Returns the port for the request filters.
+    /// @pre the controller outlives the port
     request::claim_port port();
 
     claim_report report() const;
 
-    /// Writes what is pending; gives up after `bound`. Blocks. Call it when no
-    /// request runs any more and before the holder row is closed.
+    /// Writes the pending ends; gives up after `bound`. Blocks.
+    /// @pre no request is running and the holder row is not yet closed
     claim_report stop(duration bound);
 
 private:
-    class parts;
-    std::unique_ptr<parts> inside;
+    class impl;
+    std::unique_ptr<impl> pimpl;
 };
 
 } // namespace caperpath::controllers
--- a/include/caperpath/request/answer.hpp
+++ b/include/caperpath/request/answer.hpp
@@ -12,20 +12,20 @@
 namespace caperpath::request
 {
 
-/// What one event of an engine's stream says, decoded but not yet trusted.
+/// One event of an engine's stream, decoded but not yet checked by `accept`.
 struct engine_event
 {
     enum class kind
     {
         token,   ///< one token of text at `offset`
-        finish,  ///< the answer ended; `finish_reason` says why
-        counted, ///< `used` was reported
-        done,    ///< the stream's last event
+        finish,  ///< the response ended for `finish_reason`
+        counted, ///< carries the token usage in `used`
+        done,    ///< last event of the stream
         garbled  ///< not an event of the protocol
     };
 
     kind what{kind::garbled};
-    std::string request; ///< id the engine names, empty if none
+    std::string request; ///< request id in the event, empty if none
     int attempt{};
     std::int64_t offset{};
     std::string text;
@@ -35,18 +35,19 @@
     friend bool operator==(engine_event const&, engine_event const&) = default;
 };
 
-/// Thread safe. Decodes the `data` of one server-sent event.
+/// Thread safe. Decodes the `data` of one server-sent event; the kind is
+/// `garbled` if that fails.
 engine_event decode_engine_event(std::string_view data);
 
-/// What has been accepted of one answer, over all its attempts. Immutable
+/// The part of one response accepted so far, over all its attempts. Immutable
 /// value: `accept` returns the next one.
 struct answer_state
 {
     request_id request;
     int attempt{1};
-    std::int64_t next_offset{0}; ///< tokens passed on so far
+    std::int64_t next_offset{0}; ///< tokens forwarded so far
     std::int64_t max_tokens{};
-    std::string finish_reason; ///< empty until the answer ended
+    std::string finish_reason; ///< empty until the response ended
     std::optional<usage> used;
     bool done{false};
 
@@ -55,10 +56,10 @@
 
 enum class acceptance
 {
-    pass,   ///< give it to the caller
-    ignore, ///< nothing for the caller in it
-    cut,    ///< the answer reached the length that was paid for; stop here
-    broken  ///< not of this exchange or out of order: close the connection
+    pass,   ///< forward to the caller
+    ignore, ///< contains nothing for the caller
+    cut,    ///< the response reached `max_tokens`: stop
+    broken  ///< wrong exchange or out of order: close the connection
 };
 
 struct accepted
@@ -67,11 +68,11 @@
     acceptance verdict{acceptance::broken};
 };
 
-/// Thread safe, pure. Whether an event belongs to this request and attempt and
-/// comes next in order. Anything else is never passed on.
+/// Thread safe, pure. Checks that an event belongs to this request and attempt
+/// and is the next in order. Any other event is `broken` and never forwarded.
 accepted accept(answer_state const& state, engine_event const& event);
 
-/// Thread safe, pure. The state for the next attempt, which resumes at
+/// Thread safe, pure. Returns the state for the next attempt, which resumes at
 /// `next_offset`.
 answer_state next_attempt(answer_state const& state);
 
--- a/include/caperpath/request/chat_request.hpp
+++ b/include/caperpath/request/chat_request.hpp
@@ -13,27 +13,28 @@
 namespace caperpath::request
 {
 
-/// A checked chat completion request. Immutable value.
+/// A validated chat completion request. Immutable value.
 struct chat_request
 {
     model_id model;
-    std::int64_t prompt_bytes{}; ///< a token is at least one byte
-    std::int64_t max_tokens{};   ///< completion tokens the caller accepts
+    std::int64_t prompt_bytes{}; ///< upper bound of the prompt tokens
+    std::int64_t max_tokens{};   ///< limit of completion tokens
     bool stream{false};
     bool include_usage{false};
-    std::string upstream_body; ///< JSON for the engine: streamed, with usage
+    std::string
+        upstream_body; ///< JSON for the engine; requests a stream with usage
 
     friend bool operator==(chat_request const&, chat_request const&) = default;
 };
 
-/// Thread safe. Parses and checks a body against the models of `document`; the
-/// refusal names the field at fault and costs the caller nothing. Numbers are
-/// tokens; `max_tokens` and `max_completion_tokens` mean the same, and the
-/// model's limit stands in when neither is given.
+/// Thread safe. Parses a body and validates it against the models of
+/// `document`; the rejection names the invalid field and costs the caller
+/// nothing. `max_tokens` and `max_completion_tokens` are synonyms, in tokens;
+/// the default is the model's limit.
 std::variant<chat_request, refusal>
 parse_chat_request(std::string_view body, config::document const& document);
 
-/// Thread safe. A 400 "invalid_request_error" that blames `param`.
+/// Thread safe. Returns a 400 "invalid_request_error" for the field `param`.
 refusal invalid_request(std::string param, std::string message);
 
 } // namespace caperpath::request
--- a/include/caperpath/request/claim.hpp
+++ b/include/caperpath/request/claim.hpp
@@ -13,7 +13,7 @@
 namespace caperpath::request
 {
 
-/// A finished answer as it is kept for a caller that asks again.
+/// A finished response, stored for retries of the same request.
 struct kept_answer
 {
     int status{};
@@ -23,13 +23,13 @@
     friend bool operator==(kept_answer const&, kept_answer const&) = default;
 };
 
-/// Asks to be the one who runs a request that carries an idempotency key.
+/// Requests the exclusive right to run a request with an idempotency key.
 struct claim_request
 {
     request_id request;    ///< derived from customer and key
     std::string body_hash; ///< of method, path and body
     bool idempotent{false};
-    duration wait{}; ///< how long to wait for one in progress elsewhere
+    duration wait{}; ///< longest wait for a claim in progress elsewhere
 
     friend bool operator==(claim_request const&,
                            claim_request const&) = default;
@@ -37,20 +37,20 @@
 
 enum class claim_verdict
 {
-    run,         ///< the claim is ours, and durable
-    replay,      ///< it ran; `answer` is what it gave
-    in_progress, ///< somebody else runs it: 409 with Retry-After
-    mismatch,    ///< same key, other body: 422
-    unknown,     ///< its runner died and nobody knows: final if not idempotent
-    undecidable  ///< the store cannot say now: 503, not run
+    run,         ///< the claim is durable; run the request
+    replay,      ///< it ran; `answer` is its response
+    in_progress, ///< another client runs it: 409 with Retry-After
+    mismatch,    ///< same key, different body: 422
+    unknown,     ///< its runner died, it may have run; final if not idempotent
+    undecidable  ///< the store is unavailable: 503, not run
 };
 
 struct claim_reply
 {
     claim_verdict verdict{claim_verdict::undecidable};
-    std::uint64_t epoch{}; ///< fencing number of our claim
-    /// Tokens that earlier runs of this request were billed: a caller left
-    /// before the end. The bill of this run is less by as much.
+    std::uint64_t epoch{}; ///< fencing number of the claim
+    /// Tokens billed for earlier runs of this request, whose caller
+    /// disconnected before the end. Subtract them from the bill of this run.
     token_count billed{};
     kept_answer answer;
     duration retry_after{};
@@ -60,8 +60,8 @@
 
 enum class claim_result
 {
-    completed, ///< `answer` is kept for whoever asks again
-    not_run,   ///< proved; the next one may run it
+    completed, ///< `answer` is stored for retries
+    not_run,   ///< proved; a retry may run it
     unknown    ///< it may have run
 };
 
@@ -73,24 +73,25 @@
     bool idempotent{false};
     token_count billed{}; ///< by this run
     kept_answer answer;
-    /// What `billed` is for; written in one with the end of the claim, so that
-    /// no answer is kept without its bill.
+    /// The bill for `billed`; written in one transaction with the end of the
+    /// claim, so that no response is stored without its bill.
     std::optional<budget::bill> bill{};
 
     friend bool operator==(claim_finish const&, claim_finish const&) = default;
 };
 
-/// What became of the end of a run.
+/// Result of writing the end of a run.
 enum class claim_end
 {
-    kept,       ///< whoever asks again finds it
-    superseded, ///< a later runner holds the claim: bill 0, end in an error
-    pending     ///< still ours; written as soon as the store takes it
+    kept,       ///< durable; retries find it
+    superseded, ///< a later runner owns the claim: bill 0, return an error
+    pending     ///< claim still owned; the write is being retried
 };
 
-/// What the request filters know of claims. Thread safe. Each `run` verdict is
-/// finished once. `finish` blocks (bounded) until the answer can be found again
-/// and says whether it can.
+/// Interface of the request filters to claims. Thread safe. `finish` blocks for
+/// a bounded time until retries can find the response; it returns `pending` if
+/// they cannot yet.
+/// @pre `finish` is called exactly once for each `run` verdict
 struct claim_port
 {
     std::function<claim_reply(claim_request const&)> begin;
--- a/include/caperpath/request/claim_run.hpp
+++ b/include/caperpath/request/claim_run.hpp
@@ -11,13 +11,11 @@
 #include <string>
 #include <vector>
 
-/// Claims over the platform's table. The functions block; each may be called
-/// from any thread.
+/// Claims in the platform's table. All functions block and are thread safe.
 namespace caperpath::request
 {
 
-/// What claims reach the outside through. A struct of functions; all of them
-/// may be called from any thread.
+/// The dependencies of the claim functions. All its functions are thread safe.
 struct claim_store
 {
     store::port platform;
@@ -28,7 +26,7 @@
     std::function<std::uint64_t()> random;
 };
 
-/// A claim in the table, ours until it is finished. Immutable value.
+/// A claim in the table, owned by `self` until it is finished. Immutable value.
 struct held_claim
 {
     request_id request;
@@ -43,26 +41,26 @@
 {
     claim_reply reply;
     std::optional<held_claim> held; ///< set with the verdict `run`
-    /// Set when the store answered nothing to a claim of ours and the time was
-    /// up: it may stand in the table, or appear there later, though nobody runs
-    /// the request. Give it to `withdraw_claim` until that succeeds, or every
-    /// repeat would wait for a runner that does not exist.
+    /// Set if the store did not confirm our claim before the timeout: the claim
+    /// may be in the table or appear there later, but no one runs the request.
+    /// Call `withdraw_claim` with it until that succeeds; otherwise every retry
+    /// would wait for a runner that does not exist.
     std::optional<held_claim> doubtful;
 };
 
-/// Claims a request. The usual case costs one write and no read. Waits up to
+/// Claims a request; usually takes one write and no read. Waits up to
 /// `asked.wait` for a claim in progress elsewhere and for the store. Blocks.
 begun_claim begin_claim(claim_store const& store, claim_request const& asked,
                         claimant const& self);
 
-/// Tries once to write the end of a run; `pending` means: try again, as often
-/// as needed, with the same arguments. `version` is set to the row's version
-/// with `kept`. Blocks for the calls of the store.
+/// Tries once to write the end of a run. If it returns `pending`, call it again
+/// with the same arguments. If it returns `kept`, it sets `version` to the
+/// row's version. Blocks for the store calls.
 claim_end finish_claim(claim_store const& store, held_claim const& held,
                        claim_finish const& finish, std::uint64_t& version);
 
-/// Tries once to make sure that a doubtful claim does not stand. True once that
-/// is so. Blocks for the calls of the store.
+/// Tries once to withdraw a doubtful claim. Returns true if the claim is not in
+/// the table and cannot appear there any more. Blocks for the store calls.
 bool withdraw_claim(claim_store const& store, held_claim const& doubtful);
 
 /// A row that its holder may delete after `keep_until`.
@@ -75,8 +73,8 @@
     friend bool operator==(kept_claim const&, kept_claim const&) = default;
 };
 
-/// Deletes rows whose time is over, all in one write; rows that have changed
-/// since stay. False when the store did not take it: try again. Blocks.
+/// Deletes expired rows in one transaction; skips rows that have changed since.
+/// Returns false if the store did not confirm it: call it again. Blocks.
 /// @pre at most 50 rows
 bool delete_claims(claim_store const& store,
                    std::vector<kept_claim> const& expired);
--- a/include/caperpath/request/claim_state.hpp
+++ b/include/caperpath/request/claim_state.hpp
@@ -12,23 +12,23 @@
 #include <optional>
 #include <string>
 
-/// The claim on a request that carries an idempotency key: a row of the
-/// platform's table that says who runs it, and what became of it. All functions
-/// are pure and thread safe.
+/// The claim on a request with an idempotency key: a row of the platform's
+/// table that records who runs the request and its result. All functions are
+/// pure and thread safe.
 ///
 ///   (no row) -> claimed -> done | not_run | unknown
 ///   not_run  -> claimed, with the next epoch
-///   claimed  -> unknown, or claimed by another if the call is idempotent, once
-///               its holder is proved dead
+///   claimed  -> once its holder is proved dead: claimed by another holder if
+///               the call is idempotent, otherwise unknown
 ///   unknown  -> claimed, if the call is idempotent
 namespace caperpath::request
 {
 
 enum class claim_state
 {
-    claimed, ///< its holder may run it at any moment, or has
-    done,    ///< `answer` is what it gave; final
-    not_run, ///< proved by its holder; the next one may run it
+    claimed, ///< its holder may run it or has run it
+    done,    ///< `answer` is the response; final
+    not_run, ///< proved by its holder; a retry may run it
     unknown  ///< it may have run; final unless idempotent
 };
 
@@ -36,10 +36,10 @@
 struct claim_row
 {
     claim_state state{claim_state::claimed};
-    std::uint64_t epoch{}; ///< grows with each claim, never goes back
+    std::uint64_t epoch{}; ///< increases with each claim
     incarnation_id holder;
-    /// Tells one claim from every other, so that the holder of a write whose
-    /// answer was lost recognises it in the table.
+    /// Unique per claim: the holder recognises its own claim in the table after
+    /// the response to its write was lost.
     std::string ticket;
     std::string body_hash;
     bool idempotent{false};
@@ -51,14 +51,14 @@
     friend bool operator==(claim_row const&, claim_row const&) = default;
 };
 
-/// How claims are kept. Immutable value.
+/// Settings for storing claims. Immutable value.
 struct claim_options
 {
-    /// How long a repeat finds the answer. Callers retry within minutes; a day
-    /// lets a person press the button again after a night.
+    /// How long retries find the response. Programs retry within minutes; a day
+    /// also covers a person who retries the next morning.
     duration retention{24 * 3'600'000};
-    /// A longer body goes into an object: a row is read with every repeat and
-    /// rewritten as a whole, and an order's receipt is well below this.
+    /// A longer body is stored in an object, since every retry reads the whole
+    /// row. Responses of typical service calls are well below this.
     std::size_t most_inline_bytes{4 * 1024};
     duration retry_after{1'000}; ///< for claims in progress elsewhere
 
@@ -66,8 +66,9 @@
                            claim_options const&) = default;
 };
 
-/// Who claims. `holder_version` is that of its active holder row: each write
-/// names it, so that fencing the holder refuses all of its late writes.
+/// The process that claims. `holder_version` is the version of its active
+/// holder row and a condition of each write, so fencing the holder makes the
+/// store reject its late writes.
 struct claimant
 {
     incarnation_id incarnation;
@@ -77,19 +78,19 @@
     friend bool operator==(claimant const&, claimant const&) = default;
 };
 
-/// A claim's row as it stands in the table.
+/// A claim's row as read from the table.
 struct seen_claim
 {
     std::optional<claim_row> row;
     std::uint64_t version{};
-    /// True when the row's holder can provably never act again.
+    /// True if it is proved that the row's holder can never act again.
     bool holder_ended{false};
 
     friend bool operator==(seen_claim const&, seen_claim const&) = default;
 };
 
-/// What to do about a claim that was seen: write `txn` when it is set, and once
-/// that is applied, or at once without it, give `reply`.
+/// What to do about a claim that was read: write `txn` if it is set, then
+/// return `reply`.
 struct claim_decision
 {
     std::optional<store::transaction> txn;
@@ -102,32 +103,34 @@
 
 std::string claim_key(request_id const& request);
 
-/// JSON text of a row.
+/// Returns the row as JSON text.
 std::string encode(claim_row const& row);
 
-/// Error `invalid` when a member is missing or of another type.
+/// Fails with `invalid` if a member is missing or has the wrong type.
 result<claim_row> decode_claim(std::string const& text);
 
-/// Decides for a request what `seen` means. `wall_now` is wall time.
+/// Decides what to do with a request whose claim is `seen`. `wall_now` is wall
+/// clock time.
 claim_decision decide_claim(claim_request const& asked, claimant const& self,
                             seen_claim const& seen,
                             claim_options const& options, instant wall_now);
 
-/// True when `seen` is the claim that `self` wrote: an answer of the table was
-/// lost after the write took effect.
+/// Returns true if `self` wrote the claim `seen`: the write took effect and the
+/// response was lost.
 bool is_own_claim(claimant const& self, seen_claim const& seen);
 
-/// The row that ends the claim `held`. `object` names the stored body, empty
-/// when it is inline.
+/// Returns the row that ends the claim `held`. `object` names the object that
+/// holds the body; empty if the body is inline.
 claim_row finished_row(claim_row held, claim_finish const& finish,
                        std::string const& object, claim_options const& options,
                        instant wall_now);
 
-/// Writes `row` over the one with `version`, as long as the holder is active.
+/// Returns the transaction that replaces the row at `version` by `row`; the
+/// store rejects it if the holder is no longer active.
 store::transaction claim_write(request_id const& request, claimant const& self,
                                std::uint64_t version, claim_row const& row);
 
-/// True when the answer's body has to go into an object.
+/// Returns true if the response body must be stored in an object.
 bool needs_object(claim_finish const& finish, claim_options const& options);
 
 } // namespace caperpath::request
--- a/include/caperpath/request/outcome.hpp
+++ b/include/caperpath/request/outcome.hpp
@@ -9,27 +9,27 @@
 namespace caperpath::request
 {
 
-/// What became of the work, as the caller is told in `Caperpath-Outcome`.
+/// Whether the request ran, as reported to the caller in `Caperpath-Outcome`.
 enum class outcome
 {
-    not_run,  ///< no backend server can have run it; sending it again is safe
+    not_run,  ///< no backend server can have run it; a retry is safe
     unknown,  ///< it may have run
-    completed ///< it ran, and this is its answer
+    completed ///< it ran, and this is its response
 };
 
-/// Thread safe. "not-run", "unknown" or "completed".
+/// Thread safe. Returns "not-run", "unknown" or "completed".
 std::string_view to_string(outcome kind);
 
-/// A final answer other than success. Immutable value.
+/// A final response other than success. Immutable value.
 struct refusal
 {
     int status{}; ///< HTTP status code
     outcome kind{outcome::not_run};
     duration retry_after{}; ///< 0: waiting does not help
     std::string type;       ///< OpenAI error type, "invalid_request_error"
-    std::string code;       ///< stable word for programs, "budget_exhausted"
-    std::string param;      ///< the field at fault, may be empty
-    std::string message;    ///< a sentence for a person
+    std::string code;       ///< stable code for programs, "budget_exhausted"
+    std::string param;      ///< the invalid field, may be empty
+    std::string message;    ///< human-readable sentence
 
     friend bool operator==(refusal const&, refusal const&) = default;
 };
--- a/include/caperpath/request/retry.hpp
+++ b/include/caperpath/request/retry.hpp
@@ -8,15 +8,15 @@
 namespace caperpath::request
 {
 
-/// Bounds retries to a share of recent requests, so that an outage is never
-/// multiplied: with every attempt failing, load grows by `percent`, not by the
-/// number of attempts. Amounts are hundredths of a retry. Immutable value.
+/// Limits retries to a percentage of recent requests: if every attempt fails,
+/// the load grows by `percent` and not by the number of attempts. Amounts are
+/// hundredths of a retry. Immutable value.
 struct retry_budget
 {
-    /// A tenth of recent traffic may be retried.
+    /// Retries per hundred recent requests.
     static constexpr std::int64_t percent = 10;
     static constexpr std::int64_t cost = 100;
-    /// Ten retries in reserve, so that a quiet router may still retry.
+    /// Ten retries in reserve, so that a router with little traffic can retry.
     static constexpr std::int64_t most = 10 * cost;
 
     std::int64_t credit{most};
@@ -24,36 +24,38 @@
     friend bool operator==(retry_budget const&, retry_budget const&) = default;
 };
 
-/// Thread safe, pure. A first attempt was made.
+/// Thread safe, pure. Adds the credit for a first attempt.
 retry_budget earned(retry_budget const& state);
 
-/// Thread safe, pure. True when a retry may be made now.
+/// Thread safe, pure. Returns true if the credit covers a retry.
 bool may_retry(retry_budget const& state);
 
-/// Thread safe, pure. A retry was made. @pre `may_retry(state)`
+/// Thread safe, pure. Deducts the cost of a retry. @pre `may_retry(state)`
 retry_budget spent(retry_budget const& state);
 
-/// Thread safe, pure. Wait before attempt `attempt` (2 is the first retry):
-/// exponential from 10 ms to 1 s, drawn evenly from its upper half by `random`,
-/// so that nine routers that failed together don't return together.
+/// Thread safe, pure. Returns the wait before attempt `attempt` (2 is the first
+/// retry): exponential from 10 ms to 1 s, with `random` jitter over the upper
+/// half, so that routers that failed together do not retry together.
 duration backoff(int attempt, std::uint64_t random);
 
-/// Thread safe, pure. A `Retry-After` between 1 s and `most` that spreads the
-/// return of refused callers.
+/// Thread safe, pure. Returns a random `Retry-After` between 1 s and `most`, so
+/// that rejected callers do not return together.
 duration spread_retry_after(duration most, std::uint64_t random);
 
-/// Follows the gaps between an engine's tokens and says how long a silence is
-/// too long. Immutable value.
+/// Tracks the gaps between an engine's tokens to determine the silence after
+/// which its connection counts as lost. Immutable value.
 struct gap_tracker
 {
-    /// Before any gap was seen: a first token may be queued behind others.
+    /// Used until enough gaps are known: the first token may wait in a queue.
     static constexpr duration initial_bound{5'000};
-    /// Twice the largest recent gap, which stands for the p99 gap: work goes
-    /// on elsewhere within 3 gaps. Below 50 ms scheduling noise would decide.
+    /// Twice the largest recent gap, an estimate of the p99 gap, so that work
+    /// continues on another server within 3 gaps.
     static constexpr std::int64_t gap_factor = 2;
+    /// A shorter limit would mistake scheduling delays for a lost connection.
     static constexpr duration least{50};
     static constexpr duration most{10'000};
-    /// The largest gap fades by 1/64 a token, so one pause is soon forgotten.
+    /// The largest gap decays by 1/64 per token, so one pause has a short
+    /// effect.
     static constexpr std::int64_t decay = 64;
 
     std::int64_t largest_us{0}; ///< decaying maximum in microseconds
@@ -62,11 +64,11 @@
     friend bool operator==(gap_tracker const&, gap_tracker const&) = default;
 };
 
-/// Thread safe, pure. A token came `gap` after the one before it.
+/// Thread safe, pure. Records a token that came `gap` after the previous one.
 gap_tracker observed(gap_tracker const& state, duration gap);
 
-/// Thread safe, pure. A silence longer than this means that the connection has
-/// been lost, with at least eight gaps seen; before that `initial_bound`.
+/// Thread safe, pure. Returns the silence after which the connection counts as
+/// lost: `initial_bound` until eight gaps were seen, then based on the gaps.
 duration silence_bound(gap_tracker const& state);
 
 } // namespace caperpath::request
--- a/include/caperpath/request/sse.hpp
+++ b/include/caperpath/request/sse.hpp
@@ -9,18 +9,18 @@
 namespace caperpath::request
 {
 
-/// Splits the bytes of a server-sent event stream into the `data` of its
-/// events, however the bytes are cut into pieces. Not thread safe.
+/// Splits a server-sent event stream, received in pieces of any size, into the
+/// `data` of its events. Not thread safe.
 class sse_splitter
 {
 public:
-    /// Longer than any chunk an engine sends; a longer one is a broken stream.
+    /// Exceeds the longest event of an engine; a longer one breaks the stream.
     static constexpr std::size_t max_event_bytes = 256 * 1024;
 
     /// Returns the data of the events that `piece` completes, in order.
     std::vector<std::string> feed(std::string_view piece);
 
-    /// True once an event was too long; nothing more is returned.
+    /// True once an event was too long; `feed` then returns nothing.
     bool broken() const;
 
 private:
--- a/include/caperpath/routing/backend_port.hpp
+++ b/include/caperpath/routing/backend_port.hpp
@@ -13,14 +13,14 @@
 namespace caperpath::routing
 {
 
-/// Asks where to send one attempt of a request.
+/// Selects the server for one attempt of a request.
 struct choose_request
 {
     config::backend_kind kind{};
     std::string serves; ///< model or service
-    std::string policy; ///< name, from the request's configuration
-    std::vector<backend_server_id> avoid; ///< tried already
-    int attempt{1}; ///< from 2 on it takes from the retry budget
+    std::string policy; ///< policy name in the request's configuration
+    std::vector<backend_server_id> avoid; ///< already tried
+    int attempt{1}; ///< from 2 on, charged to the retry budget
 
     friend bool operator==(choose_request const&,
                            choose_request const&) = default;
@@ -29,8 +29,8 @@
 enum class choice
 {
     chosen,
-    none_usable,  ///< every server is leaving, set aside or avoided
-    no_retry_left ///< the retry budget is used up
+    none_usable,  ///< every server is draining, ejected or in `avoid`
+    no_retry_left ///< the retry budget is exhausted
 };
 
 struct choose_reply
@@ -38,19 +38,19 @@
     choice verdict{choice::none_usable};
     backend_server_id id;
     std::string address;
-    request::gap_tracker gaps; ///< what is known of its token times
+    request::gap_tracker gaps; ///< gaps between its tokens so far
 
     friend bool operator==(choose_reply const&, choose_reply const&) = default;
 };
 
-/// How one attempt ended, for the view of that server.
+/// Result of one attempt; updates the view of its server.
 enum class attempt_result
 {
     ok,
-    overloaded, ///< it said so; not its fault
-    leaving,    ///< it said that it takes no new work
-    failed,     ///< error, broken connection, or nonsense
-    abandoned   ///< the caller left
+    overloaded, ///< reported by the server; not a failure
+    leaving,    ///< the server reported that it takes no new work
+    failed,     ///< error, lost connection or malformed response
+    abandoned   ///< the caller disconnected
 };
 
 struct attempt_report
@@ -63,8 +63,8 @@
                            attempt_report const&) = default;
 };
 
-/// What the request filters know of backend servers. Thread safe. Each choice
-/// that was `chosen` is reported once.
+/// Interface of the request filters to the backend servers. Thread safe.
+/// @pre `report` is called exactly once for each reply with `chosen`
 struct backend_port
 {
     std::function<choose_reply(choose_request const&)> choose;
--- a/include/caperpath/routing/backend_view.hpp
+++ b/include/caperpath/routing/backend_view.hpp
@@ -11,8 +11,9 @@
 namespace caperpath::routing
 {
 
-/// What one router knows of one backend server: its own dispatches, which are
-/// exact, and the server's last load report, which lags. Immutable value.
+/// One router's state for one backend server: the router's own open requests,
+/// which are exact, and the server's last load report, which lags. Immutable
+/// value.
 struct backend_view
 {
     backend_server_id id;
@@ -21,28 +22,28 @@
     failure_domain_id failure_domain;
     bool leaving{false};
 
-    std::int64_t outstanding{0}; ///< own requests open there
+    std::int64_t outstanding{0}; ///< open requests of this router
     std::int64_t reported_running{0};
     std::int64_t reported_queued{0};
     std::int64_t slots{0};
     instant reported_at;
 
-    std::int64_t failures{0}; ///< in a row
+    std::int64_t failures{0}; ///< consecutive
     instant set_aside_until;
     request::gap_tracker gaps;
 
     friend bool operator==(backend_view const&, backend_view const&) = default;
 };
 
-/// Thread safe, pure. True when new work may be sent there at `now`.
+/// Thread safe, pure. True if new work may be sent to the server at `now`.
 bool usable(backend_view const& backend, instant now);
 
-/// Thread safe, pure. An exchange ended well: failures are forgotten.
+/// Thread safe, pure. Records a successful exchange; resets the failures.
 backend_view succeeded(backend_view const& backend);
 
-/// Thread safe, pure. An exchange failed for the server's fault. After three
-/// in a row the server is set aside for a time that doubles from 0.5 s to 8 s;
-/// one request then probes it.
+/// Thread safe, pure. Records an exchange that the server failed. Three or more
+/// consecutive failures eject the server for a time that doubles from 0.5 s to
+/// 8 s. After that it is usable again, and another failure ejects it at once.
 backend_view failed(backend_view const& backend, instant now);
 
 } // namespace caperpath::routing
--- a/include/caperpath/routing/limit_port.hpp
+++ b/include/caperpath/routing/limit_port.hpp
@@ -8,12 +8,12 @@
 namespace caperpath::routing
 {
 
-/// Asks to open one request of `customer`.
+/// Request to admit one request of `customer`.
 struct admit_request
 {
     customer_id customer;
     limits bounds;
-    token_count tokens{}; ///< worst case
+    token_count tokens{}; ///< worst-case cost
 
     friend bool operator==(admit_request const&,
                            admit_request const&) = default;
@@ -27,7 +27,7 @@
     friend bool operator==(admit_reply const&, admit_reply const&) = default;
 };
 
-/// Ends one admitted request; `unused` of its tokens were not used.
+/// Ends one admitted request; returns its `unused` tokens.
 struct release_request
 {
     customer_id customer;
@@ -38,7 +38,7 @@
                            release_request const&) = default;
 };
 
-/// What the request filters know of limits. Thread safe.
+/// Interface of the request filters to the limits. Thread safe.
 struct limit_port
 {
     std::function<admit_reply(admit_request const&)> admit;
--- a/include/caperpath/routing/limits.hpp
+++ b/include/caperpath/routing/limits.hpp
@@ -18,12 +18,12 @@
     friend bool operator==(limits const&, limits const&) = default;
 };
 
-/// One customer's use at one router: open requests, and a token bucket of one
-/// second's depth. Immutable value.
+/// One customer's usage at one router: open requests, and a token bucket that
+/// holds one second of `tokens_per_second`. Immutable value.
 struct limit_state
 {
     std::int64_t open{0};
-    std::int64_t bucket_milli{-1}; ///< thousandths of a token, -1: full
+    std::int64_t bucket_milli{-1}; ///< thousandths of a token; -1: full
     instant refilled_at;
 
     friend bool operator==(limit_state const&, limit_state const&) = default;
@@ -43,14 +43,14 @@
     duration retry_after{};
 };
 
-/// Thread safe, pure. Admits a request of `tokens` worst-case tokens. A request
-/// larger than the bucket passes when the bucket is full, and leaves a debt, so
-/// that no size is refused for good.
+/// Thread safe, pure. Admits or rejects a request that costs at most `tokens`.
+/// A full bucket admits a request larger than itself and goes negative;
+/// otherwise such a request could never be admitted.
 limit_decision admit(limit_state const& state, limits const& bounds,
                      token_count tokens, instant now);
 
-/// Thread safe, pure. Ends a request; `unused` tokens go back to the bucket.
-/// @pre a matching `admit` said admitted
+/// Thread safe, pure. Ends a request and returns `unused` tokens to the bucket.
+/// @pre a matching `admit` returned `admitted`
 limit_state released(limit_state const& state, limits const& bounds,
                      token_count unused);
 
--- a/include/caperpath/routing/policy.hpp
+++ b/include/caperpath/routing/policy.hpp
@@ -15,43 +15,45 @@
 namespace caperpath::routing
 {
 
-/// What a policy may look at besides the backend servers. Immutable value.
+/// Input of a policy besides the backend servers. Immutable value.
 struct choice_input
 {
     instant now;
-    std::uint64_t random{}; ///< fresh for each choice
-    std::uint64_t turn{};   ///< grows by one a choice
+    std::uint64_t random{}; ///< new for each choice
+    std::uint64_t turn{};   ///< increases by one per choice
     failure_domain_id own_failure_domain;
 
     friend bool operator==(choice_input const&, choice_input const&) = default;
 };
 
-/// Index into `usable` of the server to send to. @pre `usable` is not empty.
+/// Returns the index in `usable` of the selected server.
+/// @pre `usable` is not empty
 using policy = std::size_t (*)(std::span<backend_view const* const> usable,
                                choice_input const& input);
 
-/// Any server, evenly. Thread safe.
+/// Selects a server with uniform probability. Thread safe.
 std::size_t random_choice(std::span<backend_view const* const> usable,
                           choice_input const& input);
 
-/// Each in turn. Thread safe.
+/// Selects the servers in rotation. Thread safe.
 std::size_t round_robin(std::span<backend_view const* const> usable,
                         choice_input const& input);
 
-/// The one with the fewest own open requests; ties go round, and a server in
-/// the own failure domain wins a tie. Thread safe.
+/// Selects the server with the fewest open requests of this router. Ties go to
+/// servers in the router's own failure domain, then rotate. Thread safe.
 std::size_t least_outstanding(std::span<backend_view const* const> usable,
                               choice_input const& input);
 
-/// The less loaded of two drawn at random, by own open requests plus the last
-/// report. Thread safe.
+/// Draws two servers at random and selects the less loaded one. The load is the
+/// larger of this router's open requests and the last reported load. Thread
+/// safe.
 std::size_t power_of_two(std::span<backend_view const* const> usable,
                          choice_input const& input);
 
-/// The policy with this name in the configuration. Thread safe.
+/// Returns the policy with this configured name, if any. Thread safe.
 std::optional<policy> find_policy(std::string_view name);
 
-/// Names that `find_policy` knows. Thread safe.
+/// Returns the names that `find_policy` accepts. Thread safe.
 std::vector<std::string> policy_names();
 
 } // namespace caperpath::routing
--- a/src/controllers/ask.hpp
+++ b/src/controllers/ask.hpp
@@ -14,20 +14,21 @@
 namespace caperpath::controllers
 {
 
-/// Sends `message` to `target` and blocks the calling thread, at most `bound`,
-/// for the `Reply`. Nothing when no answer came in time or the actor is gone.
-/// Thread safe; not to be called from an actor.
+/// Sends `message` to `target` and waits up to `timeout` for the `Reply`.
+/// Returns nothing on timeout or if the actor has ended. Blocks; thread safe.
+/// @pre not called from an actor
 template <class Reply, class Message>
-std::optional<Reply> ask(caf::actor_system& system, caf::actor const& target,
-                         Message message, duration bound)
+std::optional<Reply> request_reply(caf::actor_system& system,
+                                   caf::actor const& target, Message message,
+                                   duration timeout)
 {
-    std::optional<Reply> answer;
+    std::optional<Reply> result;
     caf::scoped_actor self{system};
-    self->request(target, std::chrono::milliseconds{bound.ms},
+    self->request(target, std::chrono::milliseconds{timeout.ms},
                   std::move(message))
-        .receive([&](Reply const& reply) { answer = reply; },
+        .receive([&](Reply const& reply) { result = reply; },
                  [](caf::error const&) {});
-    return answer;
+    return result;
 }
 
 } // namespace caperpath::controllers
--- a/src/controllers/backend_controller.cpp
+++ b/src/controllers/backend_controller.cpp
@@ -42,7 +42,7 @@
 
 using namespace routing;
 
-constexpr duration longest_wait{1'000};
+constexpr duration reply_timeout{1'000};
 
 struct backend_state
 {
@@ -55,8 +55,8 @@
 
 using backend_actor = caf::stateful_actor<backend_state>;
 
-// Counts of open requests survive a change of configuration: a server that
-// stays must not look idle because an unrelated customer was added.
+// Keeps the views of unchanged servers: otherwise a server with open requests
+// would look idle after every configuration change.
 void reconfigure(backend_state& state, config::document const& document)
 {
     std::map<backend_server_id, backend_view> views;
@@ -64,8 +64,8 @@
     {
         auto const known = state.views.find(id);
         auto view = known == state.views.end() ? backend_view{} : known->second;
-        bool const moved = view.address != server.address;
-        if (moved)
+        bool const address_changed = view.address != server.address;
+        if (address_changed)
         {
             view = backend_view{};
         }
@@ -80,16 +80,18 @@
     state.configured = document.backend_servers;
 }
 
-std::vector<backend_view const*>
-candidates(backend_state const& state, choose_request const& asked, instant now)
+std::vector<backend_view const*> candidates(backend_state const& state,
+                                            choose_request const& request,
+                                            instant now)
 {
     std::vector<backend_view const*> found;
     for (auto const& [id, view] : state.views)
     {
-        bool const avoided = std::find(asked.avoid.begin(), asked.avoid.end(),
-                                       id) != asked.avoid.end();
-        bool const serves = view.serves == asked.serves &&
-                            state.configured.at(id).kind == asked.kind;
+        bool const avoided =
+            std::find(request.avoid.begin(), request.avoid.end(), id) !=
+            request.avoid.end();
+        bool const serves = view.serves == request.serves &&
+                            state.configured.at(id).kind == request.kind;
         if (serves && !avoided && usable(view, now))
         {
             found.push_back(&view);
@@ -98,29 +100,30 @@
     return found;
 }
 
-choose_reply choose(backend_state& state, choose_request const& asked,
+choose_reply choose(backend_state& state, choose_request const& request,
                     backend_options const& options)
 {
-    bool const retry = asked.attempt > 1;
+    bool const retry = request.attempt > 1;
     if (retry && !may_retry(state.retries))
     {
         return {choice::no_retry_left, {}, {}, {}};
     }
     auto const now = options.time.now();
-    auto found = candidates(state, asked, now);
-    if (found.empty() && !asked.avoid.empty())
+    auto found = candidates(state, request, now);
+    if (found.empty() && !request.avoid.empty())
     {
-        // With a single server left a fresh connection to it may still work.
-        auto again = asked;
-        again.avoid.clear();
-        found = candidates(state, again, now);
+        // Retry on a server already tried: a new connection to it may work.
+        auto unrestricted = request;
+        unrestricted.avoid.clear();
+        found = candidates(state, unrestricted, now);
     }
     if (found.empty())
     {
         return {choice::none_usable, {}, {}, {}};
     }
     state.retries = retry ? spent(state.retries) : earned(state.retries);
-    auto const policy = find_policy(asked.policy).value_or(&least_outstanding);
+    auto const policy =
+        find_policy(request.policy).value_or(&least_outstanding);
     choice_input const input{now, state.random(), state.turn++,
                              options.own_failure_domain};
     auto& view = state.views.at(found[policy(found, input)]->id);
@@ -128,17 +131,17 @@
     return {choice::chosen, view.id, view.address, view.gaps};
 }
 
-void report(backend_state& state, attempt_report const& ended, instant now)
+void report(backend_state& state, attempt_report const& attempt, instant now)
 {
-    auto const found = state.views.find(ended.id);
+    auto const found = state.views.find(attempt.id);
     if (found == state.views.end())
     {
         return;
     }
     auto& view = found->second;
     view.outstanding = std::max<std::int64_t>(view.outstanding - 1, 0);
-    view.gaps = ended.gaps.seen > 0 ? ended.gaps : view.gaps;
-    switch (ended.result)
+    view.gaps = attempt.gaps.seen > 0 ? attempt.gaps : view.gaps;
+    switch (attempt.result)
     {
     case attempt_result::ok:
         view = succeeded(view);
@@ -147,7 +150,7 @@
         view = failed(view, now);
         break;
     case attempt_result::leaving:
-        // Its own word comes sooner than the list or the next load report.
+        // This arrives before the server list or the next load report.
         view.leaving = true;
         break;
     case attempt_result::overloaded:
@@ -156,7 +159,8 @@
     }
 }
 
-void take_load(backend_state& state, load_report const& load, instant now)
+void apply_load_report(backend_state& state, load_report const& load,
+                       instant now)
 {
     auto const found = state.views.find(load.id);
     if (found == state.views.end() || !load.answered)
@@ -176,12 +180,12 @@
 {
     self->state.random.seed(options.seed);
     return {
-        [self, options](choose_request const& asked)
-        { return choose(self->state, asked, options); },
-        [self, options](attempt_report const& ended)
-        { report(self->state, ended, options.time.now()); },
+        [self, options](choose_request const& request)
+        { return choose(self->state, request, options); },
+        [self, options](attempt_report const& attempt)
+        { report(self->state, attempt, options.time.now()); },
         [self, options](load_report const& load)
-        { take_load(self->state, load, options.time.now()); },
+        { apply_load_report(self->state, load, options.time.now()); },
         [self](configuration_message const& newer)
         { reconfigure(self->state, *newer.document); },
         [self](list_request const&)
@@ -208,22 +212,22 @@
                                         caf::actor const& controller)
 {
     return {
-        [&system, controller](choose_request const& asked)
+        [&system, controller](choose_request const& request)
         {
-            auto const reply =
-                ask<choose_reply>(system, controller, asked, longest_wait);
+            auto const reply = request_reply<choose_reply>(
+                system, controller, request, reply_timeout);
             return reply.value_or(choose_reply{});
         },
-        [controller](attempt_report const& ended)
-        { caf::anon_send(controller, ended); },
+        [controller](attempt_report const& attempt)
+        { caf::anon_send(controller, attempt); },
     };
 }
 
 std::vector<routing::backend_view> list_backends(caf::actor_system& system,
                                                  caf::actor const& controller)
 {
-    auto const views = ask<std::vector<backend_view>>(
-        system, controller, list_request{}, longest_wait);
+    auto const views = request_reply<std::vector<backend_view>>(
+        system, controller, list_request{}, reply_timeout);
     return views.value_or(std::vector<backend_view>{});
 }
 
--- a/src/controllers/budget_actor.cpp
+++ b/src/controllers/budget_actor.cpp
@@ -14,9 +14,9 @@
 
 using budget::bill_state;
 
-/// A worker spends its life in blocking calls; each has its own thread. CAF
-/// 0.17.6 forms a reference from a null pointer when an actor's function takes
-/// no argument, which the sanitizer reports; the number avoids it.
+/// A worker makes blocking calls, so it has its own thread. CAF 0.17.6 forms a
+/// reference from a null pointer if an actor's function takes no argument,
+/// which the sanitizer reports; the unused number avoids that.
 caf::behavior worker_behavior(caf::event_based_actor* /*self*/,
                               std::size_t /*number*/)
 {
@@ -54,12 +54,12 @@
         [this](report_request const&) { return this->report(); },
         [this](stop_request const& request) { return this->stop(request); },
         [this](tick_message const&) { this->tick(); },
-        [this](bind_result const& result) { this->bound(result); },
-        [this](look_result const& result) { this->looked(result); },
-        [this](write_result const& result) { this->wrote(result); },
-        [this](batch_result const& result) { this->settled(result); },
-        [this](close_result const& result) { this->closed(result); },
-        [this](sweep_result const& result) { this->swept(result); },
+        [this](bind_result const& result) { this->on_bind(result); },
+        [this](refresh_result const& result) { this->on_refresh(result); },
+        [this](write_result const& result) { this->on_write(result); },
+        [this](batch_result const& result) { this->on_settle(result); },
+        [this](close_result const& result) { this->on_close(result); },
+        [this](sweep_result const& result) { this->on_sweep(result); },
     };
 }
 
@@ -91,7 +91,7 @@
     }
     else
     {
-        this->reserving.emplace(request.request, promise);
+        this->pending_reservations.emplace(request.request, promise);
     }
     this->pump();
     return promise;
@@ -141,27 +141,27 @@
         return;
     }
     found->second = budget::cancel(std::move(found->second), request.request);
-    this->reserving.erase(request.request);
+    this->pending_reservations.erase(request.request);
     this->pump();
 }
 
-void budget_actor::answer(budget::share_state& share)
+void budget_actor::deliver_replies(budget::share_state& share)
 {
     auto step =
         budget::answer_waiting(std::move(share), this->options.clock.now());
     share = std::move(step.state);
-    for (auto const& one : step.answers)
+    for (auto const& entry : step.answers)
     {
-        auto const found = this->reserving.find(one.request);
-        if (found != this->reserving.end())
+        auto const found = this->pending_reservations.find(entry.request);
+        if (found != this->pending_reservations.end())
         {
-            found->second.deliver(one.reply);
-            this->reserving.erase(found);
+            found->second.deliver(entry.reply);
+            this->pending_reservations.erase(found);
         }
     }
 }
 
-void budget_actor::bound(bind_result const& result)
+void budget_actor::on_bind(bind_result const& result)
 {
     this->binding = false;
     if (result.holder)
@@ -171,14 +171,14 @@
         return;
     }
     this->bind_failures += 1;
-    LOG(WARNING) << "cannot bind the holder row yet: "
+    LOG(WARNING) << "binding the holder row failed; will retry: "
                  << to_string(result.fault);
     auto const salt = std::hash<incarnation_id>{}(this->options.incarnation);
     this->bind_at =
         this->options.clock.now() + budget::backoff(this->bind_failures, salt);
 }
 
-void budget_actor::looked(look_result const& result)
+void budget_actor::on_refresh(refresh_result const& result)
 {
     auto const now = this->options.clock.now();
     for (auto const& budget : result.budgets)
@@ -191,7 +191,7 @@
     this->pump();
 }
 
-void budget_actor::wrote(write_result const& result)
+void budget_actor::on_write(write_result const& result)
 {
     auto& share = this->shares.at(result.budget);
     share = budget::wrote(std::move(share), this->holder, result.outcome,
@@ -199,18 +199,18 @@
     this->pump();
 }
 
-void budget_actor::settled(batch_result const& result)
+void budget_actor::on_settle(batch_result const& result)
 {
     auto const now = this->options.clock.now();
     auto step = budget::batch_written(std::move(this->settlement), this->holder,
                                       result.outcome, now);
     this->settlement = std::move(step.state);
-    this->note_store(this->settlement.failures == 0);
-    for (auto const& one : step.durable)
+    this->record_store_result(this->settlement.failures == 0);
+    for (auto const& entry : step.durable)
     {
-        auto& share = this->shares.at(one.budget);
-        share = budget::settled(std::move(share), one.tokens);
-        auto waiters = this->unsettled.extract(one.request);
+        auto& share = this->shares.at(entry.budget);
+        share = budget::settled(std::move(share), entry.tokens);
+        auto waiters = this->unsettled.extract(entry.request);
         if (waiters.empty())
         {
             continue;
@@ -222,16 +222,16 @@
     }
     if (this->settlement.fenced)
     {
-        LOG(ERROR) << "this holder was fenced; "
+        LOG(ERROR) << "this router's holder row was fenced; "
                    << this->settlement.batch.size() +
                           this->settlement.pending.size()
-                   << " bills cannot be settled any more";
+                   << " bills can no longer be settled";
         this->release_all_waiters();
     }
     this->pump();
 }
 
-void budget_actor::note_store(bool reached)
+void budget_actor::record_store_result(bool reached)
 {
     auto const now = this->options.clock.now();
     for (auto& [budget, share] : this->shares)
@@ -252,15 +252,15 @@
     }
 }
 
-/// A store that is down would hold the caller's connection for as long. The
-/// caller learns that the bill is not durable and decides.
+/// Replies `local` to calls that have waited for `durable_wait`: otherwise a
+/// store outage would hold the caller's connection for as long as it lasts.
 void budget_actor::release_expired(instant now)
 {
     for (auto& [request, waiters] : this->unsettled)
     {
-        auto const expired = [now](finish_waiter const& one)
+        auto const expired = [now](finish_waiter const& entry)
         {
-            return one.until <= now;
+            return entry.expires_at <= now;
         };
         for (auto& waiter : waiters)
         {
--- a/src/controllers/budget_actor.hpp
+++ b/src/controllers/budget_actor.hpp
@@ -15,16 +15,16 @@
 namespace caperpath::controllers
 {
 
-/// A caller of `finish` that waits for its bill to become durable.
+/// A pending call of `finish` that waits for its bill to become durable.
 struct finish_waiter
 {
     caf::response_promise promise;
-    instant until{};
+    instant expires_at{};
 };
 
-/// The state of the actor and the steps that move it. Every decision is made by
-/// the pure functions of `budget`; this carries events in and effects out. Runs
-/// on the actor's thread only.
+/// The state and message handlers of the actor. The pure functions of `budget`
+/// decide; this class passes them events and runs the resulting calls. Runs on
+/// the actor's thread only.
 class budget_actor
 {
 public:
@@ -40,25 +40,25 @@
     void cancel(cancel_request const& request);
     promise stop(stop_request const& request);
 
-    void bound(bind_result const& result);
-    void looked(look_result const& result);
-    void wrote(write_result const& result);
-    void settled(batch_result const& result);
-    void closed(close_result const& result);
-    void swept(sweep_result const& result);
+    void on_bind(bind_result const& result);
+    void on_refresh(refresh_result const& result);
+    void on_write(write_result const& result);
+    void on_settle(batch_result const& result);
+    void on_close(close_result const& result);
+    void on_sweep(sweep_result const& result);
 
     void tick();
     void pump();
     void pump_budgets();
     void pump_settlement();
     void pump_close();
-    void answer(budget::share_state& share);
+    void deliver_replies(budget::share_state& share);
     void release_expired(instant now);
     void release_all_waiters();
-    void note_store(bool reached);
+    void record_store_result(bool reached);
     void bind();
     void pump_sweep();
-    void look(std::vector<budget_id> budgets);
+    void refresh(std::vector<budget_id> budgets);
     void run(std::function<void()> job);
     void end();
 
@@ -76,8 +76,8 @@
     int bind_failures{};
     std::unordered_map<budget_id, budget::share_state> shares;
     budget::settlement_state settlement;
-    std::unordered_map<request_id, promise> reserving;
-    /// Bills that are not durable, and who waits for each.
+    std::unordered_map<request_id, promise> pending_reservations;
+    /// Bills that are not yet durable, each with its pending `finish` calls.
     std::unordered_map<request_id, std::vector<finish_waiter>> unsettled;
     budget::death_watch watch;
     bool sweeping{false};
--- a/src/controllers/budget_controller.cpp
+++ b/src/controllers/budget_controller.cpp
@@ -15,11 +15,11 @@
 using budget::bill_state;
 using budget::reserve_verdict;
 
-/// The controller answers when the caller's wait ends. These only bound a call
-/// to a controller that has ended or is swamped.
-constexpr duration answer_margin{5'000};
+/// The controller replies when the caller's wait ends. These margins limit a
+/// call to a controller that has ended or is overloaded.
+constexpr duration reply_margin{5'000};
 constexpr duration finish_margin{10'000};
-constexpr duration ask_again{1'000};
+constexpr duration default_retry_after{1'000};
 
 std::chrono::milliseconds to_chrono(duration span)
 {
@@ -39,32 +39,34 @@
     return self->state.implementation->behavior();
 }
 
-budget::reserve_reply reserve_through(caf::actor_system& system,
-                                      caf::actor const& controller,
-                                      budget::reserve_request const& request)
+budget::reserve_reply
+request_reservation(caf::actor_system& system, caf::actor const& controller,
+                    budget::reserve_request const& request)
 {
-    budget::reserve_reply reply{reserve_verdict::undecidable, ask_again};
+    budget::reserve_reply reply{reserve_verdict::undecidable,
+                                default_retry_after};
     caf::scoped_actor self{system};
-    self->request(controller, to_chrono(request.wait + answer_margin), request)
-        .receive([&reply](budget::reserve_reply const& got) { reply = got; },
+    self->request(controller, to_chrono(request.wait + reply_margin), request)
+        .receive([&reply](budget::reserve_reply const& received)
+                 { reply = received; },
                  [&self, &controller, &request](caf::error const&)
                  {
-                     // The reservation may have been admitted after all. Left
-                     // open it would hold its tokens for good.
+                     // The controller may still admit the reservation, which
+                     // would then hold its tokens forever.
                      self->send(controller, cancel_request{request.budget,
                                                            request.request});
                  });
     return reply;
 }
 
-bill_state finish_through(caf::actor_system& system,
+bill_state request_finish(caf::actor_system& system,
                           caf::actor const& controller,
                           budget::finish_request const& request)
 {
     auto state = bill_state::local;
     caf::scoped_actor self{system};
     self->request(controller, to_chrono(finish_margin), request)
-        .receive([&state](bill_state got) { state = got; },
+        .receive([&state](bill_state received) { state = received; },
                  [](caf::error const&) {});
     return state;
 }
@@ -155,11 +157,11 @@
     budget::port made;
     made.reserve = [&system, controller](budget::reserve_request const& request)
     {
-        return reserve_through(system, controller, request);
+        return request_reservation(system, controller, request);
     };
     made.finish = [&system, controller](budget::finish_request const& request)
     {
-        return finish_through(system, controller, request);
+        return request_finish(system, controller, request);
     };
     return made;
 }
@@ -169,8 +171,9 @@
 {
     budget_report report;
     caf::scoped_actor self{system};
-    self->request(controller, to_chrono(answer_margin), report_request{})
-        .receive([&report](budget_report const& got) { report = got; },
+    self->request(controller, to_chrono(reply_margin), report_request{})
+        .receive([&report](budget_report const& received)
+                 { report = received; },
                  [](caf::error const&) {});
     return report;
 }
@@ -180,9 +183,10 @@
 {
     budget_report report;
     caf::scoped_actor self{system};
-    self->request(controller, to_chrono(bound + answer_margin),
+    self->request(controller, to_chrono(bound + reply_margin),
                   stop_request{bound})
-        .receive([&report](budget_report const& got) { report = got; },
+        .receive([&report](budget_report const& received)
+                 { report = received; },
                  [](caf::error const&) {});
     return report;
 }
--- a/src/controllers/budget_messages.hpp
+++ b/src/controllers/budget_messages.hpp
@@ -11,11 +11,11 @@
 #include <optional>
 #include <vector>
 
-/// Messages within one process; none of them is ever serialised.
+/// Messages within one process; never serialised.
 namespace caperpath::controllers
 {
 
-/// A blocking call for a worker; `run` sends its result itself.
+/// A blocking call for a worker; `run` sends the result to the actor.
 struct table_job
 {
     std::function<void()> run;
@@ -28,12 +28,12 @@
 struct bind_result
 {
     std::optional<budget::holder_view> holder;
-    error fault; ///< when there is no holder
+    error fault; ///< set if `holder` is not
 };
 
-/// The rows that exist of several budgets looked at together, or none when the
-/// read failed.
-struct look_result
+/// The existing rows of several budgets from one read; nothing if the read
+/// failed.
+struct refresh_result
 {
     std::vector<budget_id> budgets;
     std::optional<std::vector<store::row>> rows;
@@ -55,7 +55,7 @@
     bool closed{};
 };
 
-/// Empty when the round failed.
+/// Empty if the sweep failed.
 struct sweep_result
 {
     std::optional<budget::sweep_report> report;
@@ -85,7 +85,7 @@
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::table_job)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::tick_message)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::bind_result)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::look_result)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::refresh_result)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::write_result)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::batch_result)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::close_result)
--- a/src/controllers/budget_pump.cpp
+++ b/src/controllers/budget_pump.cpp
@@ -14,11 +14,12 @@
 namespace
 {
 
-/// Three keys a budget; a read takes at most 100 keys.
-constexpr std::size_t budgets_in_one_look = 33;
+/// A read takes at most 100 keys: the holder row and three per budget.
+constexpr std::size_t max_budgets_per_read = 33;
 
-/// Whoever had this process's address before it is dead; its shares come back
-/// at once and do not wait for the platform's list.
+/// Binds the holder row, which proves that earlier processes at this address
+/// are dead, and recovers their shares without waiting for the platform's VM
+/// list.
 result<budget::holder_view> bind_and_recover(budget_options const& options)
 {
     auto const& port = options.platform;
@@ -36,8 +37,8 @@
 
 } // namespace
 
-/// Hands a blocking call to a worker. A call that hangs keeps only its own
-/// worker; the port bounds every call.
+/// Runs a blocking call on a worker. A slow call delays only that worker's
+/// jobs; the port limits the time of every call.
 void budget_actor::run(std::function<void()> job)
 {
     auto const& worker = this->workers[this->next_worker];
@@ -47,32 +48,32 @@
 
 void budget_actor::bind()
 {
-    auto const due = this->options.clock.now() >= this->bind_at;
-    if (this->binding || this->holder.version != 0 || !due)
+    auto const is_due = this->options.clock.now() >= this->bind_at;
+    if (this->binding || this->holder.version != 0 || !is_due)
     {
         return;
     }
     this->binding = true;
-    auto const own = caf::actor_cast<caf::actor>(this->self);
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
     this->run(
-        [own, options = this->options]
+        [actor, options = this->options]
         {
-            auto both = value_or_error([&options]
-                                       { return bind_and_recover(options); });
+            auto outcome = value_or_error(
+                [&options] { return bind_and_recover(options); });
             bind_result result;
-            if (auto* const holder = std::get_if<budget::holder_view>(&both))
+            if (auto* const holder = std::get_if<budget::holder_view>(&outcome))
             {
                 result.holder = *holder;
             }
             else
             {
-                result.fault = std::get<error>(both);
+                result.fault = std::get<error>(outcome);
             }
-            caf::anon_send(own, std::move(result));
+            caf::anon_send(actor, std::move(result));
         });
 }
 
-void budget_actor::look(std::vector<budget_id> budgets)
+void budget_actor::refresh(std::vector<budget_id> budgets)
 {
     std::vector<std::string> keys{budget::holder_key(this->holder.incarnation)};
     for (auto const& budget : budgets)
@@ -86,50 +87,52 @@
             }
         }
     }
-    auto const own = caf::actor_cast<caf::actor>(this->self);
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
     this->run(
-        [own, keys = std::move(keys), budgets = std::move(budgets),
+        [actor, keys = std::move(keys), budgets = std::move(budgets),
          read = this->options.platform.read]
         {
-            auto both = value_or_error([&] { return read(keys); });
-            look_result result{budgets, std::nullopt};
-            if (auto* const rows = std::get_if<std::vector<store::row>>(&both))
+            auto outcome = value_or_error([&] { return read(keys); });
+            refresh_result result{budgets, std::nullopt};
+            if (auto* const rows =
+                    std::get_if<std::vector<store::row>>(&outcome))
             {
                 result.rows = std::move(*rows);
             }
-            caf::anon_send(own, std::move(result));
+            caf::anon_send(actor, std::move(result));
         });
 }
 
 void budget_actor::pump_budgets()
 {
     auto const now = this->options.clock.now();
-    auto const own = caf::actor_cast<caf::actor>(this->self);
-    std::vector<budget_id> looks;
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
+    std::vector<budget_id> to_refresh;
     for (auto& [budget, share] : this->shares)
     {
-        this->answer(share);
+        this->deliver_replies(share);
         auto step = budget::next_step(std::move(share), this->holder, now);
         share = std::move(step.state);
         if (step.kind == budget::step_kind::look)
         {
-            looks.push_back(budget);
+            to_refresh.push_back(budget);
         }
         if (step.kind == budget::step_kind::write)
         {
             this->run(
-                [own, budget = budget, txn = std::move(step.txn),
+                [actor, budget = budget, txn = std::move(step.txn),
                  commit = this->options.platform.commit] {
-                    caf::anon_send(own, write_result{budget, commit(txn)});
+                    caf::anon_send(actor, write_result{budget, commit(txn)});
                 });
         }
     }
-    while (!looks.empty())
+    while (!to_refresh.empty())
     {
-        auto const count = std::min(looks.size(), budgets_in_one_look);
-        auto const first = looks.end() - static_cast<std::ptrdiff_t>(count);
-        this->look({first, looks.end()});
-        looks.erase(first, looks.end());
+        auto const count = std::min(to_refresh.size(), max_budgets_per_read);
+        auto const first =
+            to_refresh.end() - static_cast<std::ptrdiff_t>(count);
+        this->refresh({first, to_refresh.end()});
+        to_refresh.erase(first, to_refresh.end());
     }
 }
 
@@ -143,14 +146,15 @@
     {
         return;
     }
-    auto const own = caf::actor_cast<caf::actor>(this->self);
-    this->run([own, txn = std::move(*step.txn),
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
+    this->run([actor, txn = std::move(*step.txn),
                commit = this->options.platform.commit]
-              { caf::anon_send(own, batch_result{commit(txn)}); });
+              { caf::anon_send(actor, batch_result{commit(txn)}); });
 }
 
-/// Every router looks for dead holders, so that no duty has to be handed over;
-/// the first look comes at a time of its own, since routers start together.
+/// Every router checks for dead holders, so no router needs to be elected for
+/// it. The first check is delayed by a share of the interval that depends on
+/// the incarnation, since routers may start together.
 void budget_actor::pump_sweep()
 {
     auto const now = this->options.clock.now();
@@ -168,23 +172,24 @@
     }
     this->sweeping = true;
     this->sweep_at = now + this->options.sweep_interval;
-    auto const own = caf::actor_cast<caf::actor>(this->self);
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
     this->run(
-        [own, now, watch = this->watch, platform = this->options.platform,
+        [actor, now, watch = this->watch, platform = this->options.platform,
          list_lag = this->options.list_lag]
         {
-            auto both = value_or_error(
+            auto outcome = value_or_error(
                 [&] { return budget::sweep(platform, watch, list_lag, now); });
             sweep_result result;
-            if (auto* const report = std::get_if<budget::sweep_report>(&both))
+            if (auto* const report =
+                    std::get_if<budget::sweep_report>(&outcome))
             {
                 result.report = std::move(*report);
             }
-            caf::anon_send(own, std::move(result));
+            caf::anon_send(actor, std::move(result));
         });
 }
 
-void budget_actor::swept(sweep_result const& result)
+void budget_actor::on_sweep(sweep_result const& result)
 {
     this->sweeping = false;
     if (!result.report)
@@ -192,11 +197,12 @@
         return;
     }
     this->watch = result.report->watch;
-    for (auto const& one : result.report->recovered)
+    for (auto const& entry : result.report->recovered)
     {
-        LOG(WARNING) << "recovered a share of budget " << one.budget.value
-                     << ": granted " << one.granted << ", settled " << one.spent
-                     << ", returned " << one.returned << ", held " << one.held;
+        LOG(WARNING) << "recovered a share of budget " << entry.budget.value
+                     << ": granted " << entry.granted << ", settled "
+                     << entry.spent << ", returned " << entry.returned
+                     << ", held " << entry.held;
     }
 }
 
@@ -248,21 +254,21 @@
         return;
     }
     this->close_sent = true;
-    auto const own = caf::actor_cast<caf::actor>(this->self);
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
     this->run(
-        [own, holder = this->holder, platform = this->options.platform]
+        [actor, holder = this->holder, platform = this->options.platform]
         {
-            auto const both = value_or_error(
+            auto const outcome = value_or_error(
                 [&]() -> result<bool>
                 {
                     BOOST_LEAF_CHECK(budget::close_holder(platform, holder));
                     return true;
                 });
-            caf::anon_send(own, close_result{both.index() == 0});
+            caf::anon_send(actor, close_result{outcome.index() == 0});
         });
 }
 
-void budget_actor::closed(close_result const& result)
+void budget_actor::on_close(close_result const& result)
 {
     this->close_sent = false;
     if (result.closed)
@@ -278,15 +284,15 @@
     if (!left.clean)
     {
         LOG(WARNING) << "stopped with " << left.unsettled_bills
-                     << " bills unsettled or shares not returned";
+                     << " unsettled bills; shares may not have been returned";
     }
     this->release_all_waiters();
-    for (auto& [request, promise] : this->reserving)
+    for (auto& [request, promise] : this->pending_reservations)
     {
         promise.deliver(budget::reserve_reply{
             budget::reserve_verdict::undecidable, duration{0}});
     }
-    this->reserving.clear();
+    this->pending_reservations.clear();
     this->stopping->deliver(std::move(left));
     this->stopping.reset();
     for (auto const& worker : this->workers)
--- a/src/controllers/claim_actor.cpp
+++ b/src/controllers/claim_actor.cpp
@@ -17,8 +17,8 @@
 using request::claim_end;
 using request::claim_result;
 
-/// What one write of the platform carries.
-constexpr std::size_t rows_in_one_delete = 50;
+/// The platform's limit for one transaction.
+constexpr std::size_t max_rows_per_delete = 50;
 
 } // namespace
 
@@ -39,11 +39,11 @@
         {
             if (begun.held)
             {
-                this->hold(*begun.held);
+                this->add_open(*begun.held);
             }
             if (begun.doubtful)
             {
-                this->doubt(*begun.doubtful);
+                this->add_uncertain(*begun.doubtful);
             }
         },
         [this](request::claim_finish const& finish)
@@ -51,25 +51,26 @@
         [this](report_request const&) { return this->report(); },
         [this](stop_request const& request) { return this->stop(request); },
         [this](tick_message const&) { this->tick(); },
-        [this](end_result const& result) { this->ended(result); },
-        [this](withdraw_result const& result) { this->withdrawn(result); },
-        [this](delete_result const& result) { this->deleted(result); },
+        [this](end_result const& result) { this->on_end(result); },
+        [this](withdraw_result const& result) { this->on_withdraw(result); },
+        [this](delete_result const& result) { this->on_delete(result); },
     };
 }
 
-void claim_actor::hold(request::held_claim const& held)
+void claim_actor::add_open(request::held_claim const& held)
 {
-    open_claim one;
-    one.held = held;
-    this->open.insert_or_assign(held.request, std::move(one));
+    open_claim claim;
+    claim.held = held;
+    this->open.insert_or_assign(held.request, std::move(claim));
 }
 
-void claim_actor::doubt(request::held_claim const& held)
+void claim_actor::add_uncertain(request::held_claim const& held)
 {
     LOG(WARNING) << "request=" << held.request.value
-                 << " the store did not say whether it took the claim; it was "
-                    "not run and the claim is withdrawn";
-    this->doubtful.emplace(held.row.ticket, doubtful_claim{held, 0, {}, false});
+                 << " the store did not confirm the claim; the request was not "
+                    "run and the claim is being withdrawn";
+    this->uncertain.emplace(held.row.ticket,
+                            uncertain_claim{held, 0, {}, false});
     this->pump();
 }
 
@@ -77,85 +78,86 @@
 {
     auto promise = this->self->make_response_promise();
     auto const found = this->open.find(finish.request);
-    bool const ours = found != this->open.end() && !found->second.finish &&
-                      found->second.held.row.epoch == finish.epoch;
-    if (!ours)
+    bool const is_open = found != this->open.end() && !found->second.finish &&
+                         found->second.held.row.epoch == finish.epoch;
+    if (!is_open)
     {
         promise.deliver(claim_end::superseded);
         return promise;
     }
     found->second.finish = finish;
     found->second.waiter = promise;
-    found->second.waits_until =
+    found->second.wait_deadline =
         this->options.time.now() + this->options.finish_wait;
     this->pump();
     return promise;
 }
 
-void claim_actor::ended(end_result const& result)
+void claim_actor::on_end(end_result const& result)
 {
     auto const found = this->open.find(result.request);
     if (found == this->open.end())
     {
         return;
     }
-    auto& one = found->second;
-    one.busy = false;
+    auto& claim = found->second;
+    claim.in_flight = false;
     if (result.end == claim_end::pending)
     {
-        one.failures += 1;
-        one.retry_at =
-            this->options.time.now() + this->pause_after(one.failures);
+        claim.failures += 1;
+        claim.retry_at =
+            this->options.time.now() + this->backoff_after(claim.failures);
         return;
     }
-    if (one.waiter.pending())
+    if (claim.waiter.pending())
     {
-        one.waiter.deliver(result.end);
+        claim.waiter.deliver(result.end);
     }
-    // An order of which nobody knows whether it ran must not be run because its
-    // row was old: it stays.
-    bool const may_go =
-        one.finish->result != claim_result::unknown || one.finish->idempotent;
-    if (result.end == claim_end::kept && may_go)
+    // A request that is not idempotent and may have run must never run again,
+    // so its row is not deleted.
+    bool const may_delete = claim.finish->result != claim_result::unknown ||
+                            claim.finish->idempotent;
+    if (result.end == claim_end::kept && may_delete)
     {
         auto const until =
             this->options.wall.now() + this->options.claims.retention;
-        this->kept.push_back({result.request, result.version, until});
+        this->expiring.push_back({result.request, result.version, until});
     }
-    if (this->kept.size() > this->options.most_kept)
+    if (this->expiring.size() > this->options.most_kept)
     {
-        this->kept.pop_front();
+        this->expiring.pop_front();
     }
     this->open.erase(found);
     this->pump();
 }
 
-void claim_actor::withdrawn(withdraw_result const& result)
+void claim_actor::on_withdraw(withdraw_result const& result)
 {
-    auto const found = this->doubtful.find(result.ticket);
-    if (found == this->doubtful.end())
+    auto const found = this->uncertain.find(result.ticket);
+    if (found == this->uncertain.end())
     {
         return;
     }
     if (result.done)
     {
-        this->doubtful.erase(found);
+        this->uncertain.erase(found);
         this->pump();
         return;
     }
-    auto& one = found->second;
-    one.busy = false;
-    one.failures += 1;
-    one.retry_at = this->options.time.now() + this->pause_after(one.failures);
+    auto& claim = found->second;
+    claim.in_flight = false;
+    claim.failures += 1;
+    claim.retry_at =
+        this->options.time.now() + this->backoff_after(claim.failures);
 }
 
-void claim_actor::deleted(delete_result const& result)
+void claim_actor::on_delete(delete_result const& result)
 {
     this->deleting = false;
     if (!result.done)
     {
-        this->kept.insert(this->kept.begin(), result.expired.begin(),
-                          result.expired.end());
+        this->expiring.insert(this->expiring.begin(), result.expired.begin(),
+                              result.expired.end());
     }
 }
 
@@ -171,57 +173,58 @@
 {
     auto const now = this->options.time.now();
     this->pump_ends(now);
-    this->pump_doubtful(now);
+    this->pump_uncertain(now);
     this->pump_deletes();
     this->pump_stop(now);
 }
 
-// The row is written again and again until the store takes it, also when the
-// caller has long had its answer: until then a repeat elsewhere has to wait.
+// Retries writing the row until the store accepts it, even after the caller got
+// its response: until then a retry at another router has to wait.
 void claim_actor::pump_ends(instant now)
 {
-    auto const own = caf::actor_cast<caf::actor>(this->self);
-    for (auto& [id, one] : this->open)
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
+    for (auto& [id, claim] : this->open)
     {
-        if (!one.finish)
+        if (!claim.finish)
         {
             continue;
         }
-        if (one.waiter.pending() && now >= one.waits_until)
+        if (claim.waiter.pending() && now >= claim.wait_deadline)
         {
-            one.waiter.deliver(claim_end::pending);
+            claim.waiter.deliver(claim_end::pending);
         }
-        if (one.busy || now < one.retry_at)
+        if (claim.in_flight || now < claim.retry_at)
         {
             continue;
         }
-        one.busy = true;
+        claim.in_flight = true;
         this->run(
-            [own, store = this->store, held = one.held, finish = *one.finish]
+            [actor, store = this->store, held = claim.held,
+             finish = *claim.finish]
             {
                 std::uint64_t version = 0;
                 auto const end =
                     request::finish_claim(store, held, finish, version);
-                caf::anon_send(own, end_result{held.request, end, version});
+                caf::anon_send(actor, end_result{held.request, end, version});
             });
     }
 }
 
-void claim_actor::pump_doubtful(instant now)
+void claim_actor::pump_uncertain(instant now)
 {
-    auto const own = caf::actor_cast<caf::actor>(this->self);
-    for (auto& [ticket, one] : this->doubtful)
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
+    for (auto& [ticket, claim] : this->uncertain)
     {
-        if (one.busy || now < one.retry_at)
+        if (claim.in_flight || now < claim.retry_at)
         {
             continue;
         }
-        one.busy = true;
+        claim.in_flight = true;
         this->run(
-            [own, store = this->store, held = one.held]
+            [actor, store = this->store, held = claim.held]
             {
                 bool const done = request::withdraw_claim(store, held);
-                caf::anon_send(own, withdraw_result{held.row.ticket, done});
+                caf::anon_send(actor, withdraw_result{held.row.ticket, done});
             });
     }
 }
@@ -230,24 +233,24 @@
 {
     auto const now = this->options.wall.now();
     std::vector<request::kept_claim> expired;
-    while (!this->deleting && !this->kept.empty() &&
-           this->kept.front().keep_until <= now &&
-           expired.size() < rows_in_one_delete)
+    while (!this->deleting && !this->expiring.empty() &&
+           this->expiring.front().keep_until <= now &&
+           expired.size() < max_rows_per_delete)
     {
-        expired.push_back(std::move(this->kept.front()));
-        this->kept.pop_front();
+        expired.push_back(std::move(this->expiring.front()));
+        this->expiring.pop_front();
     }
     if (expired.empty())
     {
         return;
     }
     this->deleting = true;
-    auto const own = caf::actor_cast<caf::actor>(this->self);
+    auto const actor = caf::actor_cast<caf::actor>(this->self);
     this->run(
-        [own, store = this->store, expired]
+        [actor, store = this->store, expired]
         {
             bool const done = request::delete_claims(store, expired);
-            caf::anon_send(own, delete_result{expired, done});
+            caf::anon_send(actor, delete_result{expired, done});
         });
 }
 
@@ -272,14 +275,14 @@
     {
         return;
     }
-    for (auto& [id, one] : this->open)
+    for (auto& [id, claim] : this->open)
     {
-        if (one.finish && one.waiter.pending())
+        if (claim.finish && claim.waiter.pending())
         {
-            one.waiter.deliver(claim_end::pending);
+            claim.waiter.deliver(claim_end::pending);
         }
         LOG(WARNING) << "request=" << id.value
-                     << " stopped with its claim not ended";
+                     << " stopped before the end of its claim was written";
     }
     this->stopping->deliver(left);
     this->stopping.reset();
@@ -297,7 +300,7 @@
     this->self->send(worker, table_job{std::move(job)});
 }
 
-duration claim_actor::pause_after(int failures)
+duration claim_actor::backoff_after(int failures)
 {
     return request::backoff(failures + 1, this->store.random());
 }
@@ -305,12 +308,12 @@
 claim_report claim_actor::report() const
 {
     claim_report report;
-    for (auto const& [id, one] : this->open)
+    for (auto const& [id, claim] : this->open)
     {
-        (one.finish ? report.pending : report.open) += 1;
+        (claim.finish ? report.pending : report.open) += 1;
     }
-    report.doubtful = this->doubtful.size();
-    report.kept = this->kept.size();
+    report.doubtful = this->uncertain.size();
+    report.kept = this->expiring.size();
     return report;
 }
 
--- a/src/controllers/claim_actor.hpp
+++ b/src/controllers/claim_actor.hpp
@@ -17,7 +17,7 @@
 namespace caperpath::controllers
 {
 
-/// The result of one try to write the end of a run.
+/// The result of one attempt to write the end of a run.
 struct end_result
 {
     request_id request;
@@ -37,29 +37,30 @@
     bool done{};
 };
 
-/// A claim that this router holds until its end is written.
+/// A claim that this router owns until its end is written.
 struct open_claim
 {
     request::held_claim held;
     std::optional<request::claim_finish> finish;
     caf::response_promise waiter;
-    instant waits_until{};
+    instant wait_deadline{};
     int failures{};
     instant retry_at{};
-    bool busy{false};
+    bool in_flight{false};
 };
 
-struct doubtful_claim
+/// A claim whose write had an unknown result; withdrawn until that succeeds.
+struct uncertain_claim
 {
     request::held_claim held;
     int failures{};
     instant retry_at{};
-    bool busy{false};
+    bool in_flight{false};
 };
 
-/// The state of the actor. Every decision is made by the functions of
-/// `request/claim_run.hpp`; this repeats them until they have succeeded. Runs
-/// on the actor's thread only.
+/// The state and message handlers of the actor. It retries the functions of
+/// `request/claim_run.hpp` with a backoff until they succeed. Runs on the
+/// actor's thread only.
 class claim_actor
 {
 public:
@@ -72,21 +73,21 @@
 private:
     using promise = caf::response_promise;
 
-    void hold(request::held_claim const& held);
-    void doubt(request::held_claim const& held);
+    void add_open(request::held_claim const& held);
+    void add_uncertain(request::held_claim const& held);
     promise finish(request::claim_finish const& finish);
     promise stop(stop_request const& request);
-    void ended(end_result const& result);
-    void withdrawn(withdraw_result const& result);
-    void deleted(delete_result const& result);
+    void on_end(end_result const& result);
+    void on_withdraw(withdraw_result const& result);
+    void on_delete(delete_result const& result);
     void tick();
     void pump();
     void pump_ends(instant now);
-    void pump_doubtful(instant now);
+    void pump_uncertain(instant now);
     void pump_deletes();
     void pump_stop(instant now);
     void run(std::function<void()> job);
-    duration pause_after(int failures);
+    duration backoff_after(int failures);
     claim_report report() const;
 
     caf::event_based_actor* self;
@@ -95,8 +96,8 @@
     std::vector<caf::actor> workers;
     std::size_t next_worker{};
     std::unordered_map<request_id, open_claim> open;
-    std::map<std::string, doubtful_claim> doubtful; ///< by ticket
-    std::deque<request::kept_claim> kept;           ///< in the order of ending
+    std::map<std::string, uncertain_claim> uncertain; ///< by ticket
+    std::deque<request::kept_claim> expiring;         ///< oldest first
     bool deleting{false};
     std::optional<promise> stopping;
     instant stop_until{};
--- a/src/controllers/claim_controller.cpp
+++ b/src/controllers/claim_controller.cpp
@@ -18,9 +18,9 @@
 
 using request::claim_end;
 
-/// The controller answers when its own bound ends. This only bounds a call to
-/// one that has ended or is swamped.
-constexpr duration answer_margin{10'000};
+/// The controller replies within its own time limit. This margin limits a call
+/// to a controller that has ended or is overloaded.
+constexpr duration reply_margin{10'000};
 constexpr duration bind_poll{20};
 
 std::chrono::milliseconds to_chrono(duration span)
@@ -28,9 +28,9 @@
     return std::chrono::milliseconds{span.ms};
 }
 
-/// A worker spends its life in blocking calls; each has its own thread. CAF
-/// reads a null pointer when a function without arguments is spawned, so the
-/// worker gets its number.
+/// A worker makes blocking calls, so it has its own thread. CAF 0.17.6 forms a
+/// reference from a null pointer if an actor's function takes no argument, so
+/// the worker takes an unused number.
 caf::behavior worker_behavior(std::size_t)
 {
     return {[](table_job const& job)
@@ -39,34 +39,35 @@
             }};
 }
 
-/// Hands calls to the workers in turn and waits for them, so that a thousand
-/// requests open a few connections to the platform and not a thousand.
-class worker_gate
+/// Runs calls on the workers in rotation and waits for them. This limits the
+/// connections to the platform to one per worker, however many requests run.
+class worker_pool
 {
 public:
-    explicit worker_gate(std::vector<caf::actor> workers)
+    explicit worker_pool(std::vector<caf::actor> workers)
         : workers{std::move(workers)}
     {
     }
 
-    /// Blocks. Gives `ended` when the workers have ended.
+    /// Blocks. Returns `fallback` if the call does not end within
+    /// `reply_margin`, for example because the workers have stopped.
     template <class F, class T>
-    T call(F job, T ended)
+    T call(F job, T fallback)
     {
-        auto const answer = std::make_shared<std::promise<T>>();
-        auto waiting = answer->get_future();
+        auto const promise = std::make_shared<std::promise<T>>();
+        auto pending_result = promise->get_future();
         auto const turn = this->next.fetch_add(1);
         caf::anon_send(this->workers[turn % this->workers.size()],
-                       table_job{[answer, job = std::move(job)]
+                       table_job{[promise, job = std::move(job)]
                                  {
-                                     answer->set_value(job());
+                                     promise->set_value(job());
                                  }});
-        if (waiting.wait_for(to_chrono(answer_margin)) !=
+        if (pending_result.wait_for(to_chrono(reply_margin)) !=
             std::future_status::ready)
         {
-            return ended;
+            return fallback;
         }
-        return waiting.get();
+        return pending_result.get();
     }
 
 private:
@@ -74,70 +75,71 @@
     std::atomic<std::size_t> next{0};
 };
 
-error ended_error(char const* step)
+error incomplete_error(char const* step)
 {
-    return {error_kind::unavailable, step, "table", "the workers have ended"};
+    return {error_kind::unavailable, step, "table",
+            "the workers did not complete the call"};
 }
 
 template <class T, class F>
-result<T> read_through(worker_gate& gate, char const* step, F read)
+result<T> read_on_worker(worker_pool& pool, char const* step, F read)
 {
     using both = std::variant<T, error>;
-    auto got = gate.call([read] { return value_or_error(read); },
-                         both{ended_error(step)});
-    if (auto* const fault = std::get_if<error>(&got))
+    auto received = pool.call([read] { return value_or_error(read); },
+                              both{incomplete_error(step)});
+    if (auto* const fault = std::get_if<error>(&received))
     {
         return fail(std::move(*fault));
     }
-    return std::move(std::get<T>(got));
+    return std::move(std::get<T>(received));
 }
 
-store::port through_workers(store::port const& inner,
-                            std::shared_ptr<worker_gate> const& gate)
+store::port make_worker_port(store::port const& inner,
+                             std::shared_ptr<worker_pool> const& pool)
 {
-    // Given up on, the call may still run: nothing is known of its effect.
-    store::commit_result const lost{
-        store::commit_outcome::unknown, {}, ended_error("commit")};
+    // A call that timed out may still run, so its result is unknown.
+    store::commit_result const unknown{
+        store::commit_outcome::unknown, {}, incomplete_error("commit")};
     auto outer = inner;
-    outer.commit = [inner, gate, lost](store::transaction const& txn)
+    outer.commit = [inner, pool, unknown](store::transaction const& txn)
     {
-        return gate->call([inner, txn] { return inner.commit(txn); }, lost);
+        return pool->call([inner, txn] { return inner.commit(txn); }, unknown);
     };
-    outer.read = [inner, gate](std::vector<std::string> const& keys)
+    outer.read = [inner, pool](std::vector<std::string> const& keys)
     {
-        return read_through<std::vector<store::row>>(
-            *gate, "read", [inner, keys] { return inner.read(keys); });
+        return read_on_worker<std::vector<store::row>>(
+            *pool, "read", [inner, keys] { return inner.read(keys); });
     };
-    outer.get_object = [inner, gate](std::string const& name)
+    outer.get_object = [inner, pool](std::string const& name)
     {
-        return read_through<std::string>(*gate, "get object",
-                                         [inner, name]
-                                         { return inner.get_object(name); });
+        return read_on_worker<std::string>(*pool, "get object",
+                                           [inner, name]
+                                           { return inner.get_object(name); });
     };
     return outer;
 }
 
-/// Evenly spread numbers from a counter (the finaliser of splitmix64).
-std::uint64_t mixed(std::uint64_t value)
+/// The finaliser of splitmix64: uniform numbers from a counter.
+std::uint64_t splitmix64(std::uint64_t value)
 {
     value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
     value = (value ^ (value >> 27U)) * 0x94d049bb133111ebU;
     return value ^ (value >> 31U);
 }
 
-request::claim_store store_of(claim_controller_options const& options,
-                              store::port platform)
+request::claim_store make_claim_store(claim_controller_options const& options,
+                                      store::port platform)
 {
-    auto const drawn = std::make_shared<std::atomic<std::uint64_t>>(0);
+    auto const counter = std::make_shared<std::atomic<std::uint64_t>>(0);
     auto const seed = options.seed;
     return {std::move(platform),
             options.claims,
             options.time,
             options.wall,
             [](duration span) { std::this_thread::sleep_for(to_chrono(span)); },
-            [drawn, seed]
+            [counter, seed]
             {
-                return mixed(seed + drawn->fetch_add(1));
+                return splitmix64(seed + counter->fetch_add(1));
             }};
 }
 
@@ -166,10 +168,10 @@
 
 } // namespace
 
-class claim_controller::parts
+class claim_controller::impl
 {
 public:
-    parts(caf::actor_system& system, claim_controller_options given)
+    impl(caf::actor_system& system, claim_controller_options given)
         : system{system}, options{std::move(given)}
     {
         std::vector<caf::actor> workers;
@@ -177,22 +179,22 @@
         {
             workers.push_back(system.spawn<caf::detached>(worker_behavior, i));
         }
-        auto const gate = std::make_shared<worker_gate>(workers);
-        this->store = store_of(this->options,
-                               through_workers(this->options.platform, gate));
-        this->actor =
-            system.spawn(start, store_of(this->options, this->options.platform),
-                         this->options, workers);
+        auto const pool = std::make_shared<worker_pool>(workers);
+        this->store = make_claim_store(
+            this->options, make_worker_port(this->options.platform, pool));
+        this->actor = system.spawn(
+            start, make_claim_store(this->options, this->options.platform),
+            this->options, workers);
     }
 
     request::claim_reply begin(request::claim_request const& asked);
     claim_end finish(request::claim_finish const& finish);
-    claim_report ask(stop_request const* stop);
+    claim_report request_report(stop_request const* stop);
 
     bool stopped{false};
 
 private:
-    std::uint64_t bound_version(instant until);
+    std::uint64_t await_holder_version(instant until);
 
     caf::actor_system& system;
     claim_controller_options options;
@@ -202,9 +204,9 @@
     std::atomic<std::uint64_t> tickets{0};
 };
 
-// 0 when the holder row is not there in time. It never changes while this
-// process may act, so it is read once.
-std::uint64_t claim_controller::parts::bound_version(instant until)
+// Waits for the active holder row and returns its version; 0 if there is none
+// by `until`. Read once, since it does not change while this process may act.
+std::uint64_t claim_controller::impl::await_holder_version(instant until)
 {
     auto const key = budget::holder_key(this->options.incarnation);
     while (this->holder_version.load() == 0)
@@ -227,10 +229,10 @@
 }
 
 request::claim_reply
-claim_controller::parts::begin(request::claim_request const& asked)
+claim_controller::impl::begin(request::claim_request const& asked)
 {
     auto const version =
-        this->bound_version(this->options.time.now() + asked.wait);
+        this->await_holder_version(this->options.time.now() + asked.wait);
     if (version == 0)
     {
         request::claim_reply reply;
@@ -249,47 +251,47 @@
     return reply;
 }
 
-claim_end claim_controller::parts::finish(request::claim_finish const& finish)
+claim_end claim_controller::impl::finish(request::claim_finish const& finish)
 {
     auto end = claim_end::pending;
     caf::scoped_actor self{this->system};
     self->request(this->actor,
-                  to_chrono(this->options.finish_wait + answer_margin), finish)
-        .receive([&end](claim_end got) { end = got; },
+                  to_chrono(this->options.finish_wait + reply_margin), finish)
+        .receive([&end](claim_end received) { end = received; },
                  [](caf::error const&) {});
     return end;
 }
 
-claim_report claim_controller::parts::ask(stop_request const* stop)
+claim_report claim_controller::impl::request_report(stop_request const* stop)
 {
     claim_report report;
     caf::scoped_actor self{this->system};
-    auto const take = [&report](claim_report const& got)
+    auto const on_report = [&report](claim_report const& received)
     {
-        report = got;
+        report = received;
     };
-    auto const ignore = [](caf::error const&) {
+    auto const on_error = [](caf::error const&) {
     };
     if (stop == nullptr)
     {
-        self->request(this->actor, to_chrono(answer_margin), report_request{})
-            .receive(take, ignore);
+        self->request(this->actor, to_chrono(reply_margin), report_request{})
+            .receive(on_report, on_error);
         return report;
     }
-    self->request(this->actor, to_chrono(stop->bound + answer_margin), *stop)
-        .receive(take, ignore);
+    self->request(this->actor, to_chrono(stop->bound + reply_margin), *stop)
+        .receive(on_report, on_error);
     return report;
 }
 
 claim_controller::claim_controller(caf::actor_system& system,
                                    claim_controller_options options)
-    : inside{std::make_unique<parts>(system, std::move(options))}
+    : pimpl{std::make_unique<impl>(system, std::move(options))}
 {
 }
 
 claim_controller::~claim_controller()
 {
-    if (!this->inside->stopped)
+    if (!this->pimpl->stopped)
     {
         this->stop({0});
     }
@@ -297,25 +299,25 @@
 
 request::claim_port claim_controller::port()
 {
-    auto* const all = this->inside.get();
-    return {[all](request::claim_request const& asked)
-            { return all->begin(asked); },
-            [all](request::claim_finish const& finish)
+    auto* const target = this->pimpl.get();
+    return {[target](request::claim_request const& asked)
+            { return target->begin(asked); },
+            [target](request::claim_finish const& finish)
             {
-                return all->finish(finish);
+                return target->finish(finish);
             }};
 }
 
 claim_report claim_controller::report() const
 {
-    return this->inside->ask(nullptr);
+    return this->pimpl->request_report(nullptr);
 }
 
 claim_report claim_controller::stop(duration bound)
 {
-    this->inside->stopped = true;
+    this->pimpl->stopped = true;
     stop_request const request{bound};
-    return this->inside->ask(&request);
+    return this->pimpl->request_report(&request);
 }
 
 } // namespace caperpath::controllers
--- a/src/controllers/config_controller.cpp
+++ b/src/controllers/config_controller.cpp
@@ -15,9 +15,9 @@
 namespace caperpath::controllers
 {
 
-// A mutex around the pointer rather than std::atomic<std::shared_ptr>: the one
-// of GCC 12 releases its internal lock without ordering, which ThreadSanitizer
-// reports as a race. The lock is held for the copy of two words.
+// A mutex instead of std::atomic<std::shared_ptr>, because that of GCC 12
+// releases its internal lock without ordering, which ThreadSanitizer reports as
+// a race. The lock is held only for short copies.
 struct config_controller::state
 {
     mutable std::mutex mutex;
@@ -31,7 +31,7 @@
         return this->view;
     }
 
-    bool take(std::shared_ptr<config::document const> const& offered)
+    bool accept_document(std::shared_ptr<config::document const> const& offered)
     {
         std::lock_guard const lock{this->mutex};
         auto const next = config::with_document(this->view, offered);
@@ -41,7 +41,7 @@
         return newer;
     }
 
-    void take_answer(config::poll_answer const& answer)
+    void apply_poll(config::poll_answer const& answer)
     {
         std::lock_guard const lock{this->mutex};
         this->drain_ordered = this->drain_ordered || answer.drain_ordered;
@@ -59,7 +59,7 @@
         this->counts.failed_polls += succeeded ? 0 : 1;
     }
 
-    void count_refused_offer()
+    void count_rejected_offer()
     {
         std::lock_guard const lock{this->mutex};
         ++this->counts.refused_offers;
@@ -75,7 +75,8 @@
 namespace
 {
 
-// Asks the store once and loads what is newer. Returns the error, if any.
+// Polls the store once and loads a newer version. Returns the error, if any;
+// otherwise whether the store has a version.
 template <class State>
 std::variant<bool, error> poll_store(store::port const& store,
                                      incarnation_id const& self, State& state)
@@ -84,27 +85,27 @@
         [&]() -> result<bool>
         {
             BOOST_LEAF_AUTO(answer, config::read_poll(store, self));
-            // Before the load, so that a load that fails shows as a lag.
-            state.take_answer(answer);
+            // Before the load, so that the lag metric shows a failed load.
+            state.apply_poll(answer);
             auto const& pointer = answer.current;
             if (pointer.version == 0)
             {
                 return false;
             }
-            auto const held = state.current_view().newest;
-            if (!held || held->version < pointer.version)
+            auto const newest = state.current_view().newest;
+            if (!newest || newest->version < pointer.version)
             {
                 BOOST_LEAF_AUTO(loaded,
                                 config::load_object(store, pointer.object));
-                state.take(std::make_shared<config::document const>(
+                state.accept_document(std::make_shared<config::document const>(
                     std::move(loaded)));
             }
             return true;
         });
 }
 
-// Runs on a thread of its own: a call to a slow store blocks for seconds and
-// would hold one of the few threads that all other actors share.
+// Runs on its own thread, since a call to a slow store can block for seconds
+// and would occupy one of the few threads that the other actors share.
 template <class State>
 caf::behavior make_loader(store::port store, incarnation_id self,
                           std::shared_ptr<State> state)
@@ -113,27 +114,29 @@
              state = std::move(state)](caf::get_atom)
             {
                 auto const outcome = poll_store(store, self, *state);
-                auto const* problem = std::get_if<error>(&outcome);
-                state->count_poll(problem == nullptr);
-                if (problem != nullptr)
+                auto const* fault = std::get_if<error>(&outcome);
+                state->count_poll(fault == nullptr);
+                if (fault != nullptr)
                 {
                     LOG_EVERY_N(WARNING, 60)
-                        << "configuration: " << to_string(*problem);
+                        << "polling the configuration failed: "
+                        << to_string(*fault);
                 }
-                return problem == nullptr;
+                return fault == nullptr;
             }};
 }
 
-// One question at a time: a tick while one is open is dropped, so that a slow
-// store is not asked the same thing by a growing queue.
+// At most one poll is open. Requests that arrive in the meantime are merged
+// into one further poll, so no queue builds up behind a slow store.
 struct poller_state
 {
     std::minstd_rand random;
-    bool asking{false};
-    bool asked_again{false};
+    bool poll_open{false};
+    bool poll_again{false};
 };
 
-std::chrono::milliseconds next_wait(std::minstd_rand& random, duration interval)
+std::chrono::milliseconds next_delay(std::minstd_rand& random,
+                                     duration interval)
 {
     auto const least = interval.ms * 3 / 4;
     std::uniform_int_distribution<std::int64_t> spread{least,
@@ -141,25 +144,25 @@
     return std::chrono::milliseconds{spread(random)};
 }
 
-void ask(caf::stateful_actor<poller_state>* self, caf::actor const& loader)
+void poll(caf::stateful_actor<poller_state>* self, caf::actor const& loader)
 {
-    if (self->state.asking)
+    if (self->state.poll_open)
     {
-        self->state.asked_again = true;
+        self->state.poll_again = true;
         return;
     }
-    self->state.asking = true;
-    auto const answered = [self, loader]
+    self->state.poll_open = true;
+    auto const on_reply = [self, loader]
     {
-        self->state.asking = false;
-        if (std::exchange(self->state.asked_again, false))
+        self->state.poll_open = false;
+        if (std::exchange(self->state.poll_again, false))
         {
-            ask(self, loader);
+            poll(self, loader);
         }
     };
     self->request(loader, caf::infinite, caf::get_atom_v)
-        .then([answered](bool) { answered(); },
-              [answered](caf::error const&) { answered(); });
+        .then([on_reply](bool) { on_reply(); },
+              [on_reply](caf::error const&) { on_reply(); });
 }
 
 caf::behavior make_poller(caf::stateful_actor<poller_state>* self,
@@ -170,14 +173,14 @@
     self->send(self, caf::tick_atom_v);
     return {[self, loader, options](caf::tick_atom)
             {
-                ask(self, loader);
+                poll(self, loader);
                 auto const wait =
-                    next_wait(self->state.random, options.poll_interval);
+                    next_delay(self->state.random, options.poll_interval);
                 self->delayed_send(self, wait, caf::tick_atom_v);
             },
             [self, loader](caf::update_atom)
             {
-                ask(self, loader);
+                poll(self, loader);
             }};
 }
 
@@ -186,32 +189,34 @@
 config_controller::config_controller(caf::actor_system& system,
                                      store::port store,
                                      config_controller_options options)
-    : held{std::make_shared<state>()}, running{std::make_unique<actors>()}
+    : shared_state{std::make_shared<state>()}, owned_actors{
+                                                   std::make_unique<actors>()}
 {
-    auto const shared = this->held;
-    // CAF 0.17 binds a reference to a null tuple when a function is spawned
-    // without arguments, and the undefined-behaviour sanitizer ends the
-    // process; so what the function needs goes as arguments.
+    auto const shared = this->shared_state;
+    // Spawned with arguments instead of captures: CAF 0.17.6 binds a reference
+    // to a null tuple if there are no arguments, which is undefined behaviour.
     auto const make = [](store::port const& port, incarnation_id const& self,
                          std::shared_ptr<state> const& state)
     {
         return make_loader(port, self, state);
     };
-    this->running->loader = system.spawn<caf::detached>(
+    this->owned_actors->loader = system.spawn<caf::detached>(
         make, std::move(store), options.incarnation, shared);
-    this->running->poller =
-        system.spawn(make_poller, this->running->loader, options);
+    this->owned_actors->poller =
+        system.spawn(make_poller, this->owned_actors->loader, options);
 }
 
 config_controller::~config_controller()
 {
-    caf::anon_send_exit(this->running->poller, caf::exit_reason::user_shutdown);
-    caf::anon_send_exit(this->running->loader, caf::exit_reason::user_shutdown);
+    caf::anon_send_exit(this->owned_actors->poller,
+                        caf::exit_reason::user_shutdown);
+    caf::anon_send_exit(this->owned_actors->loader,
+                        caf::exit_reason::user_shutdown);
 }
 
 config::port config_controller::port() const
 {
-    return {[shared = this->held]
+    return {[shared = this->shared_state]
             {
                 return config::in_force(shared->current_view());
             }};
@@ -219,24 +224,24 @@
 
 bool config_controller::ready() const
 {
-    return this->held->current_view().confirmed;
+    return this->shared_state->current_view().confirmed;
 }
 
 bool config_controller::drain_ordered() const
 {
-    std::lock_guard const lock{this->held->mutex};
-    return this->held->drain_ordered;
+    std::lock_guard const lock{this->shared_state->mutex};
+    return this->shared_state->drain_ordered;
 }
 
 config_status config_controller::status() const
 {
-    std::lock_guard const lock{this->held->mutex};
-    auto made = this->held->counts;
-    auto const served = config::in_force(this->held->view);
-    made.version = served ? served->version : 0;
-    made.store_version = this->held->view.store_version;
-    made.lag = config::lag(this->held->view);
-    return made;
+    std::lock_guard const lock{this->shared_state->mutex};
+    auto result = this->shared_state->counts;
+    auto const served = config::in_force(this->shared_state->view);
+    result.version = served ? served->version : 0;
+    result.store_version = this->shared_state->view.store_version;
+    result.lag = config::lag(this->shared_state->view);
+    return result;
 }
 
 bool config_controller::offer(std::string const& object,
@@ -244,20 +249,21 @@
 {
     auto const parsed =
         value_or_error([&] { return config::read_object(object, text); });
-    auto const* made = std::get_if<config::document>(&parsed);
-    auto const taken =
-        made != nullptr &&
-        this->held->take(std::make_shared<config::document const>(*made));
-    if (!taken)
+    auto const* document = std::get_if<config::document>(&parsed);
+    auto const accepted =
+        document != nullptr &&
+        this->shared_state->accept_document(
+            std::make_shared<config::document const>(*document));
+    if (!accepted)
     {
-        this->held->count_refused_offer();
+        this->shared_state->count_rejected_offer();
     }
-    return taken;
+    return accepted;
 }
 
 void config_controller::poll_now()
 {
-    caf::anon_send(this->running->poller, caf::update_atom_v);
+    caf::anon_send(this->owned_actors->poller, caf::update_atom_v);
 }
 
 } // namespace caperpath::controllers
--- a/src/controllers/limit_controller.cpp
+++ b/src/controllers/limit_controller.cpp
@@ -19,9 +19,9 @@
 
 using namespace routing;
 
-// The actor works in memory only; a longer wait means that the process itself
-// is starved, and then refusing is right.
-constexpr duration longest_wait{1'000};
+// The actor does not block, so a longer wait means that the process is
+// overloaded; rejecting sheds load.
+constexpr duration reply_timeout{1'000};
 
 struct limit_states
 {
@@ -32,18 +32,18 @@
                              clock const& time)
 {
     return {
-        [self, time](admit_request const& asked)
+        [self, time](admit_request const& request)
         {
-            auto& state = self->state.customers[asked.customer];
+            auto& state = self->state.customers[request.customer];
             auto const decision =
-                admit(state, asked.bounds, asked.tokens, time.now());
+                admit(state, request.bounds, request.tokens, time.now());
             state = decision.state;
             return admit_reply{decision.verdict, decision.retry_after};
         },
-        [self](release_request const& ended)
+        [self](release_request const& request)
         {
-            auto& state = self->state.customers[ended.customer];
-            state = released(state, ended.bounds, ended.unused);
+            auto& state = self->state.customers[request.customer];
+            state = released(state, request.bounds, request.unused);
         },
     };
 }
@@ -54,15 +54,15 @@
 {
     auto const controller = system.spawn(limit_behavior, std::move(time));
     return {
-        [&system, controller](admit_request const& asked)
+        [&system, controller](admit_request const& request)
         {
-            auto const reply =
-                ask<admit_reply>(system, controller, asked, longest_wait);
+            auto const reply = request_reply<admit_reply>(
+                system, controller, request, reply_timeout);
             return reply.value_or(
-                admit_reply{limit_verdict::too_many_open, longest_wait});
+                admit_reply{limit_verdict::too_many_open, reply_timeout});
         },
-        [controller](release_request const& ended)
-        { caf::anon_send(controller, ended); },
+        [controller](release_request const& request)
+        { caf::anon_send(controller, request); },
     };
 }
 
--- a/src/routing/backend_view.cpp
+++ b/src/routing/backend_view.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr std::int64_t failures_before_aside = 3;
-constexpr duration shortest_aside{500};
-constexpr std::int64_t most_doublings = 4;
+constexpr std::int64_t failures_before_ejection = 3;
+constexpr duration min_ejection{500};
+constexpr std::int64_t max_doublings = 4;
 
 } // namespace
 
@@ -31,12 +31,12 @@
 {
     auto next = backend;
     ++next.failures;
-    if (next.failures >= failures_before_aside)
+    if (next.failures >= failures_before_ejection)
     {
         auto const doublings =
-            std::min(next.failures - failures_before_aside, most_doublings);
+            std::min(next.failures - failures_before_ejection, max_doublings);
         next.set_aside_until =
-            now + shortest_aside * (std::int64_t{1} << doublings);
+            now + min_ejection * (std::int64_t{1} << doublings);
     }
     return next;
 }
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -23,10 +23,10 @@
     {"power_of_two", power_of_two},
 }};
 
-std::int64_t known_load(backend_view const& backend)
+std::int64_t estimated_load(backend_view const& backend)
 {
-    // A report lags: requests sent since then are only in the own count, and
-    // those sent before it are in both, so the larger one is the better guess.
+    // Requests sent after the last report are only in `outstanding`, earlier
+    // ones are in both counts: the maximum does not count them twice.
     return std::max(backend.outstanding,
                     backend.reported_running + backend.reported_queued);
 }
@@ -52,9 +52,9 @@
     {
         auto const& backend = *usable[i];
         bool const remote = backend.failure_domain != input.own_failure_domain;
-        auto const round =
+        auto const rotation =
             (i + usable.size() - input.turn % usable.size()) % usable.size();
-        return std::tuple{backend.outstanding, remote, round};
+        return std::tuple{backend.outstanding, remote, rotation};
     };
     std::size_t best = 0;
     for (std::size_t i = 1; i < usable.size(); ++i)
@@ -70,11 +70,12 @@
 std::size_t power_of_two(std::span<backend_view const* const> usable,
                          choice_input const& input)
 {
-    constexpr int half_of_random = 32;
+    constexpr int bits_per_draw = 32;
     std::size_t const first = input.random % usable.size();
-    std::size_t const second = (input.random >> half_of_random) % usable.size();
-    return known_load(*usable[first]) <= known_load(*usable[second]) ? first
-                                                                     : second;
+    std::size_t const second = (input.random >> bits_per_draw) % usable.size();
+    return estimated_load(*usable[first]) <= estimated_load(*usable[second])
+               ? first
+               : second;
 }
 
 std::optional<policy> find_policy(std::string_view name)
--- a/tests/controllers/budget_controller_test.cpp
+++ b/tests/controllers/budget_controller_test.cpp
@@ -55,9 +55,9 @@
     std::vector<caf::actor> controllers;
 };
 
-/// `count` requests one after another; how many were admitted.
-int spend(budget::port const& port, std::string const& name, int count,
-          budget_policy policy)
+/// Sends `count` requests one after another; returns how many were admitted.
+int send_requests(budget::port const& port, std::string const& name, int count,
+                  budget_policy policy)
 {
     int admitted = 0;
     for (int i = 0; i < count; ++i)
@@ -87,14 +87,14 @@
 class budget_controller_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(budget_controller_test);
-    CPPUNIT_TEST(routers_share_a_budget_while_answers_get_lost);
-    CPPUNIT_TEST(without_a_store_nothing_is_admitted);
+    CPPUNIT_TEST(routers_share_a_budget_despite_lost_responses);
+    CPPUNIT_TEST(nothing_is_admitted_without_a_store);
     CPPUNIT_TEST_SUITE_END();
 
     // Two routers draw on one budget from several threads while every seventh
-    // answer of the table gets lost. A customer would notice a request billed
-    // twice, or a 402 although tokens were left.
-    void routers_share_a_budget_while_answers_get_lost()
+    // response of the table is lost. Guards against billing a request twice and
+    // against rejecting one while tokens are left.
+    void routers_share_a_budget_despite_lost_responses()
     {
         auto const table = std::make_shared<store::memory_table>();
         auto const calls = std::make_shared<std::atomic<int>>(0);
@@ -122,8 +122,8 @@
                     auto const policy =
                         i < 2 ? budget_policy::overspend_first
                               : budget_policy::false_refusals_first;
-                    admitted +=
-                        spend(port, "t" + std::to_string(i), requests, policy);
+                    admitted += send_requests(port, "t" + std::to_string(i),
+                                              requests, policy);
                 });
         }
         for (auto& thread : threads)
@@ -139,9 +139,9 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, found.shares);
     }
 
-    // The platform's table is down when the router starts. A caller must learn
-    // that it cannot be decided now, not that the budget is used up.
-    void without_a_store_nothing_is_admitted()
+    // The platform's table is down when the router starts. Guards against
+    // reporting the budget as exhausted instead of undecidable.
+    void nothing_is_admitted_without_a_store()
     {
         auto const table = std::make_shared<store::memory_table>();
         auto const dead = store::make_memory_port(
--- a/tests/controllers/config_controller_test.cpp
+++ b/tests/controllers/config_controller_test.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-// Waits without a limit of its own: ctest's limit ends a test that hangs.
+// Has no timeout: the timeout of ctest ends a test that hangs.
 template <class Condition>
 void wait_until(Condition condition)
 {
@@ -33,7 +33,7 @@
     std::shared_ptr<store::memory_table> table{
         std::make_shared<store::memory_table>()};
     std::atomic<injected_fault> fault{injected_fault::none};
-    std::atomic<int> get_faults{0};
+    std::atomic<int> get_failures_left{0};
     store::port good{store::make_memory_port(table)};
     store::port faulty{
         store::make_memory_port(table, [this](std::string const& step)
@@ -43,15 +43,15 @@
 
     injected_fault next_fault(std::string const& step)
     {
-        if (step == "get object" && this->get_faults > 0)
+        if (step == "get object" && this->get_failures_left > 0)
         {
-            --this->get_faults;
+            --this->get_failures_left;
             return injected_fault::outage;
         }
         return this->fault;
     }
 
-    void accept(std::uint64_t base)
+    void submit_version(std::uint64_t base)
     {
         auto const id = "p" + std::to_string(base);
         auto const outcome = config::submit_patch(
@@ -64,12 +64,12 @@
     }
 };
 
-config_controller_options fast()
+config_controller_options fast_polling()
 {
     return {{4}, 1, {"router-a"}};
 }
 
-// The text and name under which the next version would stand in the store.
+// The object name and the text of a document with this version.
 std::pair<std::string, std::string> peer_document(std::uint64_t version)
 {
     config::document made;
@@ -83,47 +83,47 @@
 class config_controller_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(config_controller_test);
-    CPPUNIT_TEST(follows_the_store_and_outlives_its_outage);
-    CPPUNIT_TEST(a_fresh_router_waits_for_the_store);
-    CPPUNIT_TEST(refuses_damaged_and_older_documents);
-    CPPUNIT_TEST(learns_of_a_drain_of_its_own_life_only);
+    CPPUNIT_TEST(follows_the_store_and_survives_its_outage);
+    CPPUNIT_TEST(new_router_waits_for_the_store);
+    CPPUNIT_TEST(rejects_damaged_and_older_documents);
+    CPPUNIT_TEST(obeys_drain_commands_for_its_own_incarnation_only);
     CPPUNIT_TEST_SUITE_END();
 
     // The store goes down after a version is in force, and the first loads of
-    // the next one fail. Callers must be served under the old version until
-    // then and under the new one afterwards, without a gap.
-    void follows_the_store_and_outlives_its_outage()
+    // the next one fail. Guards against serving no version in between, and
+    // against not loading the next one once the store is back.
+    void follows_the_store_and_survives_its_outage()
     {
         fixture site;
-        config_controller controller{site.system, site.faulty, fast()};
+        config_controller controller{site.system, site.faulty, fast_polling()};
         auto const port = controller.port();
         CPPUNIT_ASSERT(!port.current());
-        site.accept(0);
+        site.submit_version(0);
         wait_until([&] { return controller.ready(); });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, port.current()->version);
         site.fault = injected_fault::outage;
-        site.accept(1);
+        site.submit_version(1);
         auto const failed = controller.status().failed_polls;
         wait_until([&]
                    { return controller.status().failed_polls > failed + 2; });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, port.current()->version);
-        site.get_faults = 3;
+        site.get_failures_left = 3;
         site.fault = injected_fault::none;
         wait_until([&] { return port.current()->version == 2; });
-        CPPUNIT_ASSERT_EQUAL(0, site.get_faults.load());
+        CPPUNIT_ASSERT_EQUAL(0, site.get_failures_left.load());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, controller.status().loads);
     }
 
-    // A VM is replaced while the store is down and a peer offers what it has.
-    // That may be old: the router must not serve it before the store has named
-    // a version, or a withdrawn key would be let in.
-    void a_fresh_router_waits_for_the_store()
+    // A new router gets a document from a peer while the store is down. The
+    // document may be old, so serving it before the store has confirmed a
+    // version could admit a revoked key.
+    void new_router_waits_for_the_store()
     {
         fixture site;
-        site.accept(0);
-        site.accept(1);
+        site.submit_version(0);
+        site.submit_version(1);
         site.fault = injected_fault::outage;
-        config_controller controller{site.system, site.faulty, fast()};
+        config_controller controller{site.system, site.faulty, fast_polling()};
         auto const [object, text] = peer_document(1);
         CPPUNIT_ASSERT(controller.offer(object, text));
         wait_until([&] { return controller.status().failed_polls > 2; });
@@ -136,11 +136,11 @@
                              controller.port().current()->version);
     }
 
-    void refuses_damaged_and_older_documents()
+    void rejects_damaged_and_older_documents()
     {
         fixture site;
-        site.accept(0);
-        config_controller controller{site.system, site.good, fast()};
+        site.submit_version(0);
+        config_controller controller{site.system, site.good, fast_polling()};
         wait_until([&] { return controller.ready(); });
         auto const [object, text] = peer_document(1);
         CPPUNIT_ASSERT(!controller.offer(object, text));
@@ -154,14 +154,14 @@
                              controller.port().current()->version);
     }
 
-    // A VM was drained and replaced at the same address. The order must not
-    // stop the new router, or a site would lose it for no reason.
-    void learns_of_a_drain_of_its_own_life_only()
+    // A VM was drained and replaced at the same address. Guards against the old
+    // drain command stopping the new router.
+    void obeys_drain_commands_for_its_own_incarnation_only()
     {
         fixture site;
-        site.accept(0);
+        site.submit_version(0);
         config::order_drain(site.good, {"router-b"}, "operator", {1});
-        config_controller controller{site.system, site.good, fast()};
+        config_controller controller{site.system, site.good, fast_polling()};
         wait_until([&] { return controller.status().polls > 1; });
         CPPUNIT_ASSERT(!controller.drain_ordered());
         config::order_drain(site.good, {"router-a"}, "operator", {1});
--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -8,20 +8,20 @@
 class adapter_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(adapter_test);
-    CPPUNIT_TEST(a_request_s_head_becomes_facts);
-    CPPUNIT_TEST(heads_that_cannot_be_read_leave_fields_empty);
-    CPPUNIT_TEST(what_only_the_gateway_sets_is_not_passed_on);
-    CPPUNIT_TEST(an_answer_s_head_becomes_facts);
-    CPPUNIT_TEST(retry_times_are_seconds_with_fractions);
-    CPPUNIT_TEST(a_configuration_becomes_a_site);
-    CPPUNIT_TEST(a_configuration_without_a_version_is_refused);
-    CPPUNIT_TEST(a_server_s_entry_is_read);
-    CPPUNIT_TEST(a_server_s_entry_with_a_fault_names_no_server);
+    CPPUNIT_TEST(parses_request_headers);
+    CPPUNIT_TEST(malformed_headers_leave_fields_empty);
+    CPPUNIT_TEST(gateway_only_headers_are_not_forwarded);
+    CPPUNIT_TEST(parses_response_headers);
+    CPPUNIT_TEST(retry_after_is_in_fractional_seconds);
+    CPPUNIT_TEST(parses_a_configuration);
+    CPPUNIT_TEST(rejects_a_configuration_without_version);
+    CPPUNIT_TEST(parses_a_server_entry);
+    CPPUNIT_TEST(rejects_an_invalid_server_entry);
     CPPUNIT_TEST_SUITE_END();
 
     using fields = gateway::http::fields;
 
-    void a_request_s_head_becomes_facts()
+    void parses_request_headers()
     {
         fields head;
         head.set("Request-Id", "9c41");
@@ -39,7 +39,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{1'210}, facts.shared_tokens);
         CPPUNIT_ASSERT(facts.shared_part != 0);
         CPPUNIT_ASSERT_EQUAL(std::string{"4"}, facts.last_event_id);
-        // The same shared parts under another own part.
+        // The same shared parts, followed by a different own part.
         head.set("Prefix-Hash", "5c:800,91:410,ff:9");
         CPPUNIT_ASSERT_EQUAL(facts.shared_part,
                              platform::read_request(head).shared_part);
@@ -48,7 +48,7 @@
                        platform::read_request(head).shared_part);
     }
 
-    void heads_that_cannot_be_read_leave_fields_empty()
+    void malformed_headers_leave_fields_empty()
     {
         fields head;
         head.set("Deadline-Ms", "soon");
@@ -62,10 +62,10 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, facts.shared_part);
     }
 
-    // A caller puts headers into its request that only the router may set, or
-    // names one of them in Connection. Passed on, the server would bill another
-    // customer or let the request pass all others.
-    void what_only_the_gateway_sets_is_not_passed_on()
+    // A caller sets headers that only the router may set, or lists a header in
+    // Connection. If the router forwarded them, the server could bill another
+    // customer or prioritise the request.
+    void gateway_only_headers_are_not_forwarded()
     {
         fields head;
         head.set("Authorization", "Bearer abc");
@@ -77,11 +77,11 @@
         head.set("X-Own", "1");
         head.set("X-Kept", "2");
         head.set("Request-Id", "9c41");
-        gateway::dispatch_facts tell;
-        tell.time_left = {250};
-        tell.server = {"i-1"};
-        tell.customer = customer_id{"taller"};
-        platform::prepare_request(head, tell);
+        gateway::dispatch_facts facts;
+        facts.time_left = {250};
+        facts.server = {"i-1"};
+        facts.customer = customer_id{"taller"};
+        platform::prepare_request(head, facts);
         CPPUNIT_ASSERT(head.find("Authorization") == head.end());
         CPPUNIT_ASSERT(head.find("Kv-Retention") == head.end());
         CPPUNIT_ASSERT(head.find("Kv-From") == head.end());
@@ -95,34 +95,34 @@
         CPPUNIT_ASSERT(head["Expected-Instance"] == "i-1");
     }
 
-    void an_answer_s_head_becomes_facts()
+    void parses_response_headers()
     {
         fields head;
         head.set("Request-Id", "9c41");
         head.set("Upstream-Signature", "s");
         head.set("Upstream-Load", "3,1,8");
         head.set("Keep-Alive", "timeout=7, max=5");
-        auto facts = platform::read_answer(head, 200);
+        auto facts = platform::read_response(head, 200);
         CPPUNIT_ASSERT(facts.is_signed && !facts.not_run);
         CPPUNIT_ASSERT(facts.load == (fleet::load_report{3, 1, 8}));
         CPPUNIT_ASSERT(facts.idle_timeout == duration{7'000});
         head.set("Not-Executed", "1");
         head.set("Upstream-Load", "3,1");
-        facts = platform::read_answer(head, 503);
+        facts = platform::read_response(head, 503);
         CPPUNIT_ASSERT(facts.not_run && !facts.wrong_server && !facts.load);
-        CPPUNIT_ASSERT(platform::read_answer({}, 421).wrong_server);
-        CPPUNIT_ASSERT(!platform::read_answer({}, 503).not_run);
+        CPPUNIT_ASSERT(platform::read_response({}, 421).wrong_server);
+        CPPUNIT_ASSERT(!platform::read_response({}, 503).not_run);
     }
 
-    void retry_times_are_seconds_with_fractions()
+    void retry_after_is_in_fractional_seconds()
     {
         fields head;
-        platform::prepare_refusal(head, "9c41", duration{1'250});
+        platform::prepare_rejection(head, "9c41", duration{1'250});
         CPPUNIT_ASSERT(head["Retry-After"] == "1.250");
         CPPUNIT_ASSERT(head["Request-Id"] == "9c41");
     }
 
-    void a_configuration_becomes_a_site()
+    void parses_a_configuration()
     {
         auto const read = platform::read_site(R"({"version":7,"route-table":[
             {"name":"r","hostname":"a.example","prefix":"/x/",
@@ -152,7 +152,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{16'384}, parts.limits.header_bytes);
     }
 
-    void a_configuration_without_a_version_is_refused()
+    void rejects_a_configuration_without_version()
     {
         for (auto const* text : {"", "[]", "{}", R"({"version":"7"})"})
         {
@@ -166,7 +166,7 @@
         R"("batch-slots":64,"state":"healthy","warmup-left-ms":0,)"
         R"("born":1700000000000,"sequence":4})";
 
-    void a_server_s_entry_is_read()
+    void parses_a_server_entry()
     {
         auto const read = platform::read_server("i-1", good_entry);
         auto const& entry = std::get<fleet::server_entry>(read);
@@ -176,10 +176,9 @@
         CPPUNIT_ASSERT(!entry.leaving);
     }
 
-    // Another program writes rows into the servers' table. A router that took
-    // an unknown state or a wrong address for a good server would send callers
-    // to it.
-    void a_server_s_entry_with_a_fault_names_no_server()
+    // Another program writes the rows of the server table. A router must not
+    // route callers to a server with an unknown state or an invalid address.
+    void rejects_an_invalid_server_entry()
     {
         std::string const good{good_entry};
         auto const with =
--- a/tests/platform/store_port_test.cpp
+++ b/tests/platform/store_port_test.cpp
@@ -15,38 +15,38 @@
 class store_port_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(store_port_test);
-    CPPUNIT_TEST(a_scan_reads_on_while_there_are_more_rows);
-    CPPUNIT_TEST(a_list_reads_on_and_is_followed_from_its_first_answer);
-    CPPUNIT_TEST(a_scan_that_breaks_off_gives_no_rows);
-    CPPUNIT_TEST(a_scan_that_gets_no_further_gives_no_rows);
+    CPPUNIT_TEST(scan_reads_all_pages);
+    CPPUNIT_TEST(list_reads_all_pages_and_has_the_first_version);
+    CPPUNIT_TEST(interrupted_scan_returns_an_error);
+    CPPUNIT_TEST(scan_without_progress_returns_an_error);
     CPPUNIT_TEST_SUITE_END();
 
-    /// A store with rows `a` to `e` that answers with two of them at a time.
-    struct world
+    /// A store with rows `a` to `e` that returns at most two rows per response.
+    struct fake_store
     {
         boost::asio::io_context loop;
-        int answers_left{100};
-        std::string always; ///< the body of each answer, if not empty
+        int responses_left{100};
+        std::string fixed_body; ///< body of each response, if not empty
         int calls{};
         fake_server server{loop, [this](fake_server::request const& got)
                            {
-                               return this->answer(got);
+                               return this->respond(got);
                            }};
         store::async_port port{platform::make_store_port(
             std::make_shared<gateway::http_caller>(loop.get_executor(),
                                                    server.address()),
             server.address(), duration{1'000})};
 
-        script answer(fake_server::request const& got)
+        script respond(fake_server::request const& got)
         {
             this->calls += 1;
-            if (this->calls > this->answers_left)
+            if (this->calls > this->responses_left)
             {
                 return {{gateway::whole_answer(got, 503, "{}")}};
             }
-            if (!this->always.empty())
+            if (!this->fixed_body.empty())
             {
-                return {{gateway::whole_answer(got, 200, this->always)}};
+                return {{gateway::whole_answer(got, 200, this->fixed_body)}};
             }
             std::string const target{got.target()};
             std::string const keys = "abcde";
@@ -79,18 +79,18 @@
         }
     };
 
-    // A large fleet has more heartbeat rows than one answer holds. Read in
-    // part, the rest of the routers would count as gone, and each router would
-    // use a larger part of what all share.
-    void a_scan_reads_on_while_there_are_more_rows()
+    // A large fleet has more heartbeat rows than one response holds. If a scan
+    // returned only the first ones, the other routers would count as gone and
+    // each router would use a larger part of the shared limits.
+    void scan_reads_all_pages()
     {
-        world here;
+        fake_store fake;
         std::optional<std::vector<store::row>> rows;
-        here.port.scan(
+        fake.port.scan(
             "a", "z",
             [&](std::variant<std::vector<store::row>, error> const& reply)
             { rows = std::get<std::vector<store::row>>(reply); });
-        here.run_until([&] { return rows.has_value(); });
+        fake.run_until([&] { return rows.has_value(); });
         CPPUNIT_ASSERT(rows);
         std::string keys;
         for (auto const& row : *rows)
@@ -100,43 +100,44 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"abcde"}, keys);
     }
 
-    // A site has more servers than one answer holds. Cut off there, most of
-    // them would never get a request; and what changes while the rest is read
-    // must not be missed either.
-    void a_list_reads_on_and_is_followed_from_its_first_answer()
+    // A site has more servers than one response holds. If a list returned only
+    // the first ones, the others would never get a request. Changes made during
+    // the read must not be missed either.
+    void list_reads_all_pages_and_has_the_first_version()
     {
-        world here;
+        fake_store fake;
         std::optional<store::feed_page> page;
-        here.port.list("servers", duration{1'000},
+        fake.port.list("servers", duration{1'000},
                        [&](std::variant<store::feed_page, error> const& reply)
                        { page = std::get<store::feed_page>(reply); });
-        here.run_until([&] { return page.has_value(); });
+        fake.run_until([&] { return page.has_value(); });
         CPPUNIT_ASSERT(page);
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, page->rows.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, page->version);
     }
 
-    static void check_scan_fails(world& here)
+    static void check_scan_fails(fake_store& fake)
     {
         std::optional<std::variant<std::vector<store::row>, error>> got;
-        here.port.scan("a", "z", [&](auto const& reply) { got = reply; });
-        here.run_until([&] { return got.has_value(); });
+        fake.port.scan("a", "z", [&](auto const& reply) { got = reply; });
+        fake.run_until([&] { return got.has_value(); });
         CPPUNIT_ASSERT(got);
         CPPUNIT_ASSERT(std::holds_alternative<error>(*got));
     }
 
-    // The store fails in the middle of a read. Half of the rows is no answer.
-    void a_scan_that_breaks_off_gives_no_rows()
+    // The store fails in the middle of a read. The scan must not return a part
+    // of the rows.
+    void interrupted_scan_returns_an_error()
     {
-        world here;
-        here.answers_left = 2;
-        check_scan_fails(here);
+        fake_store fake;
+        fake.responses_left = 2;
+        check_scan_fails(fake);
     }
 
-    // The store says that there are more rows and never gives any, or rows
-    // without a key to go on from. Taken for the end, what was read so far
-    // would look like the whole fleet; asked for ever, the call would not end.
-    void a_scan_that_gets_no_further_gives_no_rows()
+    // The store announces more rows but returns none, or rows without a key to
+    // continue from. Treating this as the end would make a part look like the
+    // whole fleet; continuing forever would never end the call.
+    void scan_without_progress_returns_an_error()
     {
         for (auto const* body :
              {R"({"rows":[],"has-more":true})", R"({"has-more":true})",
@@ -145,10 +146,10 @@
               R"({"rows":["a"],"has-more":true})",
               R"({"rows":[{"key":"a"}],"has-more":"yes"})"})
         {
-            world here;
-            here.always = body;
-            check_scan_fails(here);
-            CPPUNIT_ASSERT_MESSAGE(body, here.calls <= 2);
+            fake_store fake;
+            fake.fixed_body = body;
+            check_scan_fails(fake);
+            CPPUNIT_ASSERT_MESSAGE(body, fake.calls <= 2);
         }
     }
 };
--- a/tests/routing/policy_test.cpp
+++ b/tests/routing/policy_test.cpp
@@ -11,14 +11,14 @@
 class policy_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(policy_test);
-    CPPUNIT_TEST(every_configured_name_is_a_policy);
-    CPPUNIT_TEST(every_policy_chooses_a_usable_server);
-    CPPUNIT_TEST(least_outstanding_takes_a_least_loaded_one);
-    CPPUNIT_TEST(a_failing_server_is_set_aside_and_probed);
-    CPPUNIT_TEST(limits_hold_and_refill);
+    CPPUNIT_TEST(every_configured_name_has_a_policy);
+    CPPUNIT_TEST(every_policy_returns_a_valid_index);
+    CPPUNIT_TEST(least_outstanding_selects_a_minimum);
+    CPPUNIT_TEST(failing_server_is_ejected_and_retried);
+    CPPUNIT_TEST(limits_are_enforced_and_refill);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::vector<backend_view> draw_servers()
+    static std::vector<backend_view> generate_servers()
     {
         auto const loads =
             *rc::gen::nonEmpty(rc::gen::container<std::vector<std::int64_t>>(
@@ -43,7 +43,7 @@
         return all;
     }
 
-    static choice_input draw_input()
+    static choice_input generate_input()
     {
         return {{0},
                 *rc::gen::arbitrary<std::uint64_t>(),
@@ -51,9 +51,9 @@
                 {"here"}};
     }
 
-    // An operator patches in a policy that the router does not have. It would
-    // quietly route by another one, and the experiment would compare nothing.
-    void every_configured_name_is_a_policy()
+    // The configuration accepts a policy name that the router does not
+    // implement: the router would silently fall back to another policy.
+    void every_configured_name_has_a_policy()
     {
         for (auto const name : config::routing_policies)
         {
@@ -63,13 +63,13 @@
                              policy_names().size());
     }
 
-    void every_policy_chooses_a_usable_server()
+    void every_policy_returns_a_valid_index()
     {
         CPPUNIT_ASSERT(rc::check(
             []
             {
-                auto const servers = draw_servers();
-                auto const input = draw_input();
+                auto const servers = generate_servers();
+                auto const input = generate_input();
                 for (auto const& name : policy_names())
                 {
                     auto const choose = *find_policy(name);
@@ -79,14 +79,14 @@
             }));
     }
 
-    void least_outstanding_takes_a_least_loaded_one()
+    void least_outstanding_selects_a_minimum()
     {
         CPPUNIT_ASSERT(rc::check(
             []
             {
-                auto const servers = draw_servers();
+                auto const servers = generate_servers();
                 auto const chosen =
-                    least_outstanding(pointers(servers), draw_input());
+                    least_outstanding(pointers(servers), generate_input());
                 for (auto const& server : servers)
                 {
                     RC_ASSERT(servers[chosen].outstanding <=
@@ -95,9 +95,9 @@
             }));
     }
 
-    // An engine answers every request with an error at once, so it always has
-    // the fewest open requests and would attract all of them.
-    void a_failing_server_is_set_aside_and_probed()
+    // An engine that fails every request immediately has the fewest open
+    // requests and would receive all traffic.
+    void failing_server_is_ejected_and_retried()
     {
         backend_view server;
         instant const now{1'000};
@@ -111,7 +111,7 @@
         CPPUNIT_ASSERT(usable(succeeded(server), now));
     }
 
-    void limits_hold_and_refill()
+    void limits_are_enforced_and_refill()
     {
         limits const bounds{2, 1'000};
         limit_state state;
