--- a/src/controllers/budget_actor.cpp
+++ b/src/controllers/budget_actor.cpp
@@ -171,7 +171,7 @@
         return;
     }
     this->bind_failures += 1;
-    LOG(WARNING) << "binding the holder row failed; will retry: "
+    LOG(WARNING) << "cannot bind the holder row yet; retrying: "
                  << to_string(result.fault);
     auto const salt = std::hash<incarnation_id>{}(this->options.incarnation);
     this->bind_at =
@@ -222,10 +222,10 @@
     }
     if (this->settlement.fenced)
     {
-        LOG(ERROR) << "this router's holder row was fenced; "
+        LOG(ERROR) << "the holder row of this process was fenced; "
                    << this->settlement.batch.size() +
                           this->settlement.pending.size()
-                   << " bills can no longer be settled";
+                   << " bills cannot be settled any more";
         this->release_all_waiters();
     }
     this->pump();
--- a/src/controllers/budget_pump.cpp
+++ b/src/controllers/budget_pump.cpp
@@ -284,7 +284,7 @@
     if (!left.clean)
     {
         LOG(WARNING) << "stopped with " << left.unsettled_bills
-                     << " unsettled bills; shares may not have been returned";
+                     << " unsettled bills, or shares not returned";
     }
     this->release_all_waiters();
     for (auto& [request, promise] : this->pending_reservations)
--- a/src/controllers/claim_actor.cpp
+++ b/src/controllers/claim_actor.cpp
@@ -67,8 +67,8 @@
 void claim_actor::add_uncertain(request::held_claim const& held)
 {
     LOG(WARNING) << "request=" << held.request.value
-                 << " the store did not confirm the claim; the request was not "
-                    "run and the claim is being withdrawn";
+                 << " the store did not confirm the claim; it was not run and "
+                    "the claim is being withdrawn";
     this->uncertain.emplace(held.row.ticket,
                             uncertain_claim{held, 0, {}, false});
     this->pump();
@@ -282,7 +282,7 @@
             claim.waiter.deliver(claim_end::pending);
         }
         LOG(WARNING) << "request=" << id.value
-                     << " stopped before the end of its claim was written";
+                     << " stopped while its claim was still unfinished";
     }
     this->stopping->deliver(left);
     this->stopping.reset();
--- a/src/controllers/claim_controller.cpp
+++ b/src/controllers/claim_controller.cpp
@@ -78,7 +78,7 @@
 error incomplete_error(char const* step)
 {
     return {error_kind::unavailable, step, "table",
-            "the workers did not complete the call"};
+            "the workers have stopped or are overloaded"};
 }
 
 template <class T, class F>
--- a/src/controllers/config_controller.cpp
+++ b/src/controllers/config_controller.cpp
@@ -119,7 +119,7 @@
                 if (fault != nullptr)
                 {
                     LOG_EVERY_N(WARNING, 60)
-                        << "polling the configuration failed: "
+                        << "cannot poll the configuration: "
                         << to_string(*fault);
                 }
                 return fault == nullptr;
