--- a/include/caperpath/request/claim_state.hpp
+++ b/include/caperpath/request/claim_state.hpp
@@ -57,8 +57,9 @@
     /// How long retries find the response. Programs retry within minutes; a day
     /// also covers a person who retries the next morning.
     duration retention{24 * 3'600'000};
-    /// A longer body is stored in an object, since every retry reads the whole
-    /// row. Responses of typical service calls are well below this.
+    /// A longer body is stored in an object, since each retry reads and each
+    /// write replaces the whole row. A typical order receipt is well below
+    /// this.
     std::size_t most_inline_bytes{4 * 1024};
     duration retry_after{1'000}; ///< for claims in progress elsewhere
 
--- a/src/controllers/budget_actor.cpp
+++ b/src/controllers/budget_actor.cpp
@@ -72,9 +72,9 @@
         return found->second;
     }
     auto const sizes = this->options.sizes.value_or(budget::sizing_for(policy));
-    auto made = budget::make_share(budget, policy, sizes);
-    made.closing = this->stopping.has_value();
-    return this->shares.emplace(budget, std::move(made)).first->second;
+    auto added = budget::make_share(budget, policy, sizes);
+    added.closing = this->stopping.has_value();
+    return this->shares.emplace(budget, std::move(added)).first->second;
 }
 
 caf::response_promise
--- a/src/controllers/budget_controller.cpp
+++ b/src/controllers/budget_controller.cpp
@@ -154,16 +154,16 @@
 budget::port make_budget_port(caf::actor_system& system,
                               caf::actor const& controller)
 {
-    budget::port made;
-    made.reserve = [&system, controller](budget::reserve_request const& request)
+    budget::port port;
+    port.reserve = [&system, controller](budget::reserve_request const& request)
     {
         return request_reservation(system, controller, request);
     };
-    made.finish = [&system, controller](budget::finish_request const& request)
+    port.finish = [&system, controller](budget::finish_request const& request)
     {
         return request_finish(system, controller, request);
     };
-    return made;
+    return port;
 }
 
 budget_report report_budgets(caf::actor_system& system,
--- a/src/controllers/claim_controller.cpp
+++ b/src/controllers/claim_controller.cpp
@@ -78,15 +78,15 @@
 error incomplete_error(char const* step)
 {
     return {error_kind::unavailable, step, "table",
-            "the workers have stopped or are overloaded"};
+            "the workers have stopped or are too slow"};
 }
 
 template <class T, class F>
 result<T> read_on_worker(worker_pool& pool, char const* step, F read)
 {
-    using both = std::variant<T, error>;
+    using value_or_failure = std::variant<T, error>;
     auto received = pool.call([read] { return value_or_error(read); },
-                              both{incomplete_error(step)});
+                              value_or_failure{incomplete_error(step)});
     if (auto* const fault = std::get_if<error>(&received))
     {
         return fail(std::move(*fault));
@@ -211,9 +211,9 @@
     auto const key = budget::holder_key(this->options.incarnation);
     while (this->holder_version.load() == 0)
     {
-        auto const both =
+        auto const outcome =
             value_or_error([&] { return this->store.platform.read({key}); });
-        auto const* rows = std::get_if<std::vector<store::row>>(&both);
+        auto const* rows = std::get_if<std::vector<store::row>>(&outcome);
         if (rows != nullptr && !rows->empty() && is_active(rows->front()))
         {
             this->holder_version = rows->front().version;
