--- a/include/caperpath/request/chat_request.hpp
+++ b/include/caperpath/request/chat_request.hpp
@@ -17,12 +17,11 @@
 struct chat_request
 {
     model_id model;
-    std::int64_t prompt_bytes{}; ///< upper bound of the prompt tokens
+    std::int64_t prompt_bytes{}; ///< a token has at least one byte
     std::int64_t max_tokens{};   ///< limit of completion tokens
     bool stream{false};
     bool include_usage{false};
-    std::string
-        upstream_body; ///< JSON for the engine; requests a stream with usage
+    std::string upstream_body; ///< JSON for the engine: streamed, with usage
 
     friend bool operator==(chat_request const&, chat_request const&) = default;
 };
--- a/include/caperpath/request/claim_run.hpp
+++ b/include/caperpath/request/claim_run.hpp
@@ -59,8 +59,8 @@
 claim_end finish_claim(claim_store const& store, held_claim const& held,
                        claim_finish const& finish, std::uint64_t& version);
 
-/// Tries once to withdraw a doubtful claim. Returns true if the claim is not in
-/// the table and cannot appear there any more. Blocks for the store calls.
+/// Tries once to withdraw a doubtful claim. Returns true if the claim cannot
+/// block the request any more. Blocks for the store calls.
 bool withdraw_claim(claim_store const& store, held_claim const& doubtful);
 
 /// A row that its holder may delete after `keep_until`.
--- a/src/controllers/claim_controller.cpp
+++ b/src/controllers/claim_controller.cpp
@@ -78,7 +78,7 @@
 error incomplete_error(char const* step)
 {
     return {error_kind::unavailable, step, "table",
-            "the workers have stopped or are too slow"};
+            "the workers have stopped or are unresponsive"};
 }
 
 template <class T, class F>
