--- a/include/caperpath/budget/bill.hpp
+++ b/include/caperpath/budget/bill.hpp
@@ -12,7 +12,8 @@
 namespace caperpath::budget
 {
 
-/// What one request cost; written to the ledger exactly once. Immutable value.
+/// The cost of one request; written to the ledger exactly once. Immutable
+/// value.
 struct bill
 {
     request_id request;
@@ -22,22 +23,22 @@
     std::int64_t prompt_tokens{};
     std::int64_t completion_tokens{};
     std::uint64_t config_version{};
-    /// Its answer is kept under an idempotency key, and the bill beside it
-    /// until it is in the ledger.
+    /// The response is kept under an idempotency key, with the bill in a row of
+    /// its own until it is in the ledger.
     bool answer_kept{false};
 
     friend auto operator<=>(bill const&, bill const&) = default;
 };
 
-/// Asks to set aside the worst case of one request.
+/// Reserves the worst-case cost of one request.
 struct reserve_request
 {
     request_id request;
     budget_id budget;
     config::budget_policy policy{};
     token_count amount{};
-    duration wait{}; ///< how long the caller may be kept waiting for a draw
-    /// The tokens go to another router: not counted as traffic of this one.
+    duration wait{}; ///< maximum time that the caller may wait for a draw
+    /// The tokens go to another router and do not count as traffic of this one.
     bool is_transfer{false};
 
     friend bool operator==(reserve_request const&,
@@ -46,7 +47,7 @@
 
 enum class reserve_verdict
 {
-    admitted,   ///< `amount` is set aside until `finish`
+    admitted,   ///< `amount` is reserved until `finish`
     exhausted,  ///< the paid amount does not cover it: 402
     undecidable ///< cannot be decided safely now: 503
 };
@@ -54,14 +55,14 @@
 struct reserve_reply
 {
     reserve_verdict verdict{};
-    duration retry_after{}; ///< when asking again makes sense, 0: never
+    duration retry_after{}; ///< when a retry makes sense; 0: never
 
     friend bool operator==(reserve_reply const&,
                            reserve_reply const&) = default;
 };
 
-/// Ends a reservation: `cost.tokens` of `reserved` are spent, the rest is free
-/// again. A request that cost nothing has a bill of 0 tokens.
+/// Ends a reservation: `cost.tokens` of `reserved` are spent, the rest becomes
+/// free. A request without cost has a bill of 0 tokens.
 struct finish_request
 {
     bill cost;
@@ -72,7 +73,7 @@
                            finish_request const&) = default;
 };
 
-/// How safe the bill is when `finish` returns.
+/// How durable the bill is when `finish` returns.
 enum class bill_state
 {
     durable, ///< in the platform's table
@@ -80,16 +81,17 @@
     local    ///< in this router's memory only
 };
 
-/// What the request filters know of budgets. A struct of functions: the
-/// controller makes one, tests make one over plain state. Thread safe.
+/// The interface of budgets for the request filters. A struct of functions: the
+/// controller implements it, and tests implement it over plain state. Thread
+/// safe.
 struct port
 {
-    /// Blocks at most `wait`. An admitted request must be finished once.
+    /// Blocks for at most `wait`. An admitted request must be finished once.
     std::function<reserve_reply(reserve_request const&)> reserve;
 
-    /// Blocks as long as the policy wants the bill safe before the answer ends
-    /// (bounded); `false_refusals_first` returns at once. A repeat with the
-    /// same request id changes nothing.
+    /// Blocks, for a bounded time, until the bill is as durable as the policy
+    /// requires before the response ends; `false_refusals_first` returns at
+    /// once. A retry with the same request id changes nothing.
     std::function<bill_state(finish_request const&)> finish;
 };
 
--- a/include/caperpath/budget/distribution.hpp
+++ b/include/caperpath/budget/distribution.hpp
@@ -8,17 +8,17 @@
 #include <map>
 #include <vector>
 
-/// Where the tokens of one budget should lie in a large fleet, as the router
-/// that looks after the budget (its coordinator) reckons it.
+/// How the tokens of one budget should be distributed over a large fleet,
+/// computed by the router that manages the budget (its coordinator).
 ///
-/// A router that is cut off serves from what it holds, so most of a budget is
-/// spread before it is asked for; the rest stays in the budget row, for
-/// routers that run out while they can ask. The figures are hints: a stale one
-/// puts tokens in the wrong place, never too many.
+/// A disconnected router serves from what it holds, so most of a budget is
+/// distributed before it is requested. The rest stays in the budget row, for
+/// routers that run out while they can request tokens. The figures are hints: a
+/// stale one puts tokens in the wrong place, but never creates any.
 namespace caperpath::budget
 {
 
-/// The requests of the last seconds, each counting less as time passes.
+/// A count of recent requests that decays exponentially with time.
 /// Immutable value.
 struct request_count
 {
@@ -35,18 +35,18 @@
 /// The count after one more request at `now`. Thread safe.
 request_count counted(request_count const& count, instant now);
 
-/// What the coordinator knows of one router.
+/// What the coordinator knows about one router.
 struct router_stock
 {
     token_count free{};
     token_count spent{};
-    double requests{};     ///< for this budget, of late
-    double all_requests{}; ///< for all budgets, of late
+    double requests{};     ///< recent ones for this budget
+    double all_requests{}; ///< recent ones for all budgets
 
     friend bool operator==(router_stock const&, router_stock const&) = default;
 };
 
-/// All that the coordinator knows. Value type.
+/// All that the coordinator knows about one budget. Value type.
 struct budget_stock
 {
     token_count pool{};                    ///< free at the coordinator
@@ -56,7 +56,7 @@
     router_stock own;                      ///< the coordinator as a router
 };
 
-/// Tokens to send to a router or, if negative, to ask back from it. Immutable
+/// Tokens to send to a router or, if negative, to recall from it. Immutable
 /// value.
 struct token_move
 {
@@ -66,29 +66,30 @@
     friend bool operator==(token_move const&, token_move const&) = default;
 };
 
-/// What the coordinator does now. Immutable value.
+/// What the coordinator has to do now. Immutable value.
 struct distribution
 {
     std::vector<token_move> moves;
-    token_count pool_target{}; ///< to hold, after the moves
+    token_count pool_target{}; ///< tokens to hold in the pool after the moves
 
     friend bool operator==(distribution const&, distribution const&) = default;
 };
 
-/// The part of a budget's next requests that comes to each router, the
+/// The expected fraction of a budget's next requests at each router, with the
 /// coordinator under an empty name. Callers keep their connections, so a router
-/// with much traffic of all budgets gets more of this one too; where its own
-/// count says otherwise, by more than chance, that counts. Thread safe.
+/// with more traffic of all budgets is expected to get more of this one too;
+/// its own count of requests for this budget corrects that. Thread safe.
 std::map<vm_id, double> expected_parts(budget_stock const& stock);
 
-/// Thread safe.
+/// Plans the moves of tokens between the coordinator and the routers. Thread
+/// safe.
 distribution distribute(budget_stock const& stock);
 
-/// The routers to ask for `wanted` tokens now, those with most first, so many
-/// at most that a caller can wait for all. Thread safe.
+/// The recalls that gather `wanted` tokens now, from the routers with the most
+/// free tokens; few enough that a caller can wait for all. Thread safe.
 std::vector<token_move> gather(budget_stock const& stock, token_count wanted);
 
-/// The VMs that look after `budget`, in the order in which they are asked.
+/// The VMs that may coordinate `budget`, in the order in which they are asked.
 /// @pre `vms` holds each VM once. Thread safe.
 std::vector<vm_id> coordinators(budget_id const& budget,
                                 std::vector<vm_id> const& vms);
--- a/include/caperpath/budget/holdings.hpp
+++ b/include/caperpath/budget/holdings.hpp
@@ -11,42 +11,42 @@
 #include <optional>
 #include <string>
 
-/// Which router should hold how much of one budget, reckoned by each router
-/// from what all of them tell of themselves.
+/// How much of one budget each router should hold. Each router computes this
+/// from the reports of all routers.
 ///
-/// Tokens that lie in the store serve nobody while the store is away, and
-/// tokens in a share do. So all that is left of a budget is dealt out, to each
-/// router in proportion to what it needs ahead. The figures are hints: a stale
-/// one makes a share too large or too small, never a budget overspent, since
-/// tokens move by transactions alone.
+/// Tokens in the store cannot be used while the store is unreachable, but
+/// tokens in a share can. So all remaining tokens of a budget are allocated, to
+/// each router in proportion to its expected need. The figures are hints: a
+/// stale one makes a share too large or too small, but never overspends a
+/// budget, since tokens move only by transactions.
 namespace caperpath::budget
 {
 
-/// What one router tells of one budget. Immutable value.
+/// What one router reports about one budget. Immutable value.
 struct holding
 {
     token_count granted{}; ///< its share
-    token_count spent{};   ///< of it, for good
-    token_count open{};    ///< of it, reserved by requests that run
-    token_count need{};    ///< what it would like to have free
+    token_count spent{};   ///< part of `granted`, permanently spent
+    token_count open{};    ///< part of `granted`, reserved by running requests
+    token_count need{};    ///< tokens that it needs free
 
     friend bool operator==(holding const&, holding const&) = default;
 };
 
-/// Row `holding/<vm>`: what a router tells the others. In a row of its own and
-/// packed by cereal: every router reads the rows of all, and would have to
-/// parse their spend lines, in JSON, with them.
+/// Key of row `holding/<vm>`: a router's report to the others. It is a separate
+/// row in cereal's binary format because every router reads the rows of all
+/// routers, and would otherwise also parse their spend limits in JSON.
 std::string holding_key(vm_id const& vm);
 
-/// The VM of such a key; nothing for another one. Thread safe.
+/// The VM of such a key; empty for any other key. Thread safe.
 std::optional<vm_id> vm_of_holding_key(std::string const& key);
 
-/// The bytes of a row, and back; error `invalid` when they cannot be read.
-/// Thread safe.
-std::string encode(std::map<budget_id, holding> const& told);
+/// Encodes and decodes the bytes of a row. Decoding fails with `invalid` if
+/// they are malformed. Thread safe.
+std::string encode(std::map<budget_id, holding> const& reported);
 result<std::map<budget_id, holding>> decode_holdings(std::string const& bytes);
 
-/// What the routers told last, and when that was heard.
+/// A router's latest report, and when it was received.
 struct heard_holding
 {
     holding last;
@@ -56,50 +56,50 @@
                            heard_holding const&) = default;
 };
 
-/// All that is known of the holders of one budget. By VM: the router that comes
-/// after a dead one tells what that one spent as its own. Value type.
+/// The latest reports about one budget. By VM, since the successor of a dead
+/// router reports its predecessor's spending as its own. Value type.
 using holdings = std::map<vm_id, heard_holding>;
 
-/// Budgets are dealt out by what the routers tell among so many routers at
-/// most. The pause before a wish for tokens is read grows with them, and a
-/// caller waits for its answer; the draws of many holders also refuse each
-/// other.
+/// The largest number of routers that allocate budgets by their reports. The
+/// delay until a token request is read grows with their number while a caller
+/// waits for a response, and the draws of many holders conflict.
 inline constexpr std::int64_t most_dealing_routers = 15;
 
-/// The pause between two reads of what the routers tell: all read the rows of
-/// all. Thread safe.
+/// The pause between two reads of the routers' reports. It grows with their
+/// number, since each reads the rows of all. Thread safe.
 duration holdings_read_pause(std::int64_t routers);
 
-/// A router that was not heard of for so long is not dealt to. Thread safe.
+/// A router without a report for this long gets no allocation. Thread safe.
 duration holding_lifetime(std::int64_t routers);
 
-/// What follows for one router. Immutable value.
+/// The allocation of one router. Immutable value.
 struct deal
 {
     token_count target{}; ///< tokens to hold free
-    /// What others lack of their parts and the budget row does not have, if one
-    /// of them has less than half of its part.
+    /// What others lack of their parts beyond the ungranted tokens; 0 unless
+    /// one of them has less than half of its part.
     token_count others_lack{};
-    token_count spent_by_all{}; ///< by those that were heard of
+    token_count
+        spent_by_all{}; ///< by this router and those with a recent report
 
     friend bool operator==(deal const&, deal const&) = default;
 };
 
-/// What a router needs free: the traffic of `ahead`, twice the deviation that
-/// requests of the size `request` bring to it, and one such request. With the
-/// mean alone a router that gets few and large requests would refuse some in
-/// most outages. Thread safe. @pre `per_second` is at least 0.
+/// What a router needs free: the traffic of `ahead`, plus twice its standard
+/// deviation for requests of size `request`, plus one such request. With the
+/// mean alone, a router with few large requests would reject some in most
+/// outages. Thread safe. @pre `per_second` is at least 0.
 token_count need_ahead(double per_second, duration ahead, token_count request);
 
-/// The deal for the router at `self`, which has `own` now, by the budget row.
-/// Of `routers` that may be alive, those that were not heard of lately are
-/// taken to need as much as the others in the mean. Thread safe.
+/// The allocation for the router at `self`, which holds `own` now. `row` is the
+/// budget row. `routers` counts those that may be alive; those without a recent
+/// report are assumed to need the mean of the others. Thread safe.
 deal deal_for(holdings const& known, vm_id const& self, holding const& own,
               budget_row const& row, std::int64_t routers, instant now);
 
-/// True when `self` has to return tokens for holders that lack `wanted`: the
-/// others that have more to spare do not cover it. Were all to answer a wish,
-/// their writes of one row would refuse each other. Thread safe.
+/// True if `self` has to return tokens for holders that lack `wanted`, because
+/// the holders with more spare tokens do not cover it. If all returned tokens
+/// at once, their writes of the same row would conflict. Thread safe.
 bool must_return(holdings const& known, vm_id const& self, token_count spare,
                  token_count wanted, std::int64_t routers, instant now);
 
--- a/include/caperpath/budget/recovery.hpp
+++ b/include/caperpath/budget/recovery.hpp
@@ -10,21 +10,22 @@
 #include <string>
 #include <vector>
 
-/// The life of a holder row: bound by its process, fenced and recovered by
-/// others once the process is proved dead. The functions over a port block, may
-/// be repeated and may be called by several routers at once: each step is
-/// conditional, so that one of them does it and the others find it done.
+/// The life cycle of a holder row: bound by its process, fenced and recovered
+/// by other routers once the process is proved dead. The functions that take a
+/// port block, are idempotent and may be called by several routers at once:
+/// each step is a conditional write, so that one router does it and the others
+/// find it done.
 namespace caperpath::budget
 {
 
 enum class proof_kind
 {
-    absent_after_listed, ///< the platform lists destroyed VMs no more
-    address_rebound      ///< a new process holds the address of the old one
+    absent_after_listed, ///< the platform no longer lists destroyed VMs
+    address_rebound      ///< a new process has bound the old one's address
 };
 
-/// Why an incarnation can no longer run. Immutable value. A lapsed lease is no
-/// such proof: a paused process wakes and goes on without knowing.
+/// Why an incarnation can no longer be running. An expired lease is no such
+/// proof: a paused process resumes without noticing. Immutable value.
 struct death_proof
 {
     incarnation_id incarnation;
@@ -48,17 +49,18 @@
     std::vector<death_proof> proofs;
 };
 
-/// Compares `once_listed`, the live holders that the list has shown, with the
-/// `list` as it is at `now`. The list may lag by seconds and be served by
-/// several replicas: an incarnation counts as destroyed when it has been
-/// absent from every list seen for `list_lag`. Thread safe.
+/// Compares `once_listed`, the active holders that the platform's list has
+/// shown, with the `list` read at `now`. The list may lag by seconds and come
+/// from several replicas, so an incarnation counts as destroyed after it has
+/// been absent from every list read for `list_lag`. Thread safe.
 watch_step watch_list(death_watch watch,
                       std::vector<incarnation_id> const& once_listed,
                       std::vector<store::listed_vm> const& list,
                       duration list_lag, instant now);
 
-/// Creates the holder row. A repeat after a lost answer finds it there.
-/// Thread safe; blocks. Error `conflict` when the incarnation was fenced.
+/// Creates the holder row. A retry after a lost response finds it. Thread safe;
+/// blocks. Error `conflict` if the incarnation was fenced or another process
+/// owns the row.
 result<holder_view> bind_holder(store::port const& port,
                                 incarnation_id const& incarnation,
                                 std::string const& address,
@@ -68,61 +70,63 @@
 result<std::map<incarnation_id, holder_row>>
 active_holders(store::port const& port);
 
-/// Proofs that a process which has bound `address` itself can give: every other
-/// active holder of the address is dead, since two processes cannot have it
-/// bound. @pre the caller has the address bound as `self`. Thread safe; blocks.
+/// Proves that every other active holder of `address` is dead, since two
+/// processes cannot have it bound. @pre the calling process has bound `address`
+/// as `self`. Thread safe; blocks.
 result<std::vector<death_proof>> prove_by_binding(store::port const& port,
                                                   incarnation_id const& self,
                                                   std::string const& address);
 
-/// What became of one share of a dead holder. Immutable value.
+/// The result of recovering one share of a dead holder. Immutable value.
 struct recovered_share
 {
     budget_id budget;
     token_count granted{};
     token_count spent{};    ///< in the ledger
     token_count returned{}; ///< back in the budget
-    token_count held{};     ///< may have been answered for without a bill
+    token_count held{};     ///< may have been used without a bill
 
     friend bool operator==(recovered_share const&,
                            recovered_share const&) = default;
 };
 
-/// Fences the holder, takes back its shares and closes it. The result names the
-/// shares that this call took back (others may have taken some). Thread safe;
-/// blocks. On an error some shares may be left: repeat it.
+/// Fences the holder, recovers its shares and closes it. Returns the shares
+/// that this call recovered (other routers may have recovered some). Thread
+/// safe; blocks. On an error some shares may be left: call it again.
 /// @pre the proof is true.
 result<std::vector<recovered_share>> recover(store::port const& port,
                                              death_proof const& proof);
 
-/// One round of looking for dead holders.
+/// The result of one round of the search for dead holders.
 struct sweep_report
 {
     death_watch watch; ///< for the next round
     std::vector<recovered_share> recovered;
 };
 
-/// Records which holders the platform's list shows, and recovers those that it
-/// has shown and has left out for `list_lag`, as well as those that somebody
-/// has fenced and not finished. Thread safe; blocks. On an error the next round
-/// goes on where this one stopped.
+/// Records which holders the platform's list shows. Recovers those that it has
+/// shown before and omitted for `list_lag`, and those whose recovery another
+/// router started but did not finish. Thread safe; blocks. On an error the next
+/// round continues where this one stopped.
 result<sweep_report> sweep(store::port const& port, death_watch watch,
                            duration list_lag, instant now);
 
-/// Marks a holder that left nothing behind as closed. Error `conflict` when it
-/// still has a share row. Thread safe; blocks.
+/// Marks a holder without share rows as closed. Error `conflict` if it still
+/// has one. Thread safe; blocks.
 result<void> close_holder(store::port const& port, holder_view const& holder);
 
-/// An operator decides that held tokens were not used: they return to the
-/// budget, once. The result is what this call released, 0 on a repeat. Thread
-/// safe; blocks. Error `not_found` when nothing is held.
+/// Returns held tokens to the budget, once, after an operator has decided that
+/// they were not used. Returns the tokens that this call released, 0 on a
+/// retry. Thread safe; blocks. Error `not_found` if nothing is held.
 result<token_count> release_held(store::port const& port,
                                  budget_id const& budget,
                                  incarnation_id const& holder);
 
-/// Raises what was paid, once for each `topup_id`; creates the budget row when
-/// there is none. Gives the paid amount after it. Thread safe; blocks. Error
-/// `conflict` when the id was used with another amount.
+/// Adds `tokens` to the paid amount, once for each `topup_id`, and creates the
+/// budget row if there is none. Returns the new paid amount. Thread safe;
+/// blocks. Errors: `conflict` if the id was used with another amount, `invalid`
+/// if `tokens` is not positive or the sum overflows, `timeout` if the outcome
+/// is unknown: then retry with the same id.
 result<token_count> top_up(store::port const& port, budget_id const& budget,
                            std::string const& topup_id, token_count tokens);
 
--- a/include/caperpath/budget/rows.hpp
+++ b/include/caperpath/budget/rows.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-/// The rows that budgets keep in the platform's table. The formula that every
-/// transaction upholds, for each budget:
+/// The rows of budgets in the platform's table. Every transaction preserves
+/// this invariant of each budget:
 ///
 ///   sum of spent <= retired + sum of share.granted = granted <= paid
 namespace caperpath::budget
@@ -20,10 +20,11 @@
 /// Row `budget/<budget>`. Immutable value.
 struct budget_row
 {
-    token_count paid{};     ///< raised by top-ups only
-    token_count granted{};  ///< out in shares, spent by former holders, or held
-    token_count retired{};  ///< the part of `granted` without a live share
-    token_count wanted{};   ///< hint: a reservation that no draw could cover
+    token_count paid{};    ///< raised by top-ups only
+    token_count granted{}; ///< in shares, spent by former holders, or held
+    token_count retired{}; ///< the part of `granted` without a live share
+    token_count
+        wanted{}; ///< hint: lacking for a reservation that no draw covers
     std::int64_t holders{}; ///< number of share rows
 
     friend bool operator==(budget_row const&, budget_row const&) = default;
@@ -34,8 +35,8 @@
 struct share_row
 {
     token_count granted{};
-    /// The most that the holder may have answered for without a bill in the
-    /// ledger; held back when it dies.
+    /// Upper bound on the tokens that the holder may have used without a bill
+    /// in the ledger; held back if it dies.
     token_count exposed{};
 
     friend bool operator==(share_row const&, share_row const&) = default;
@@ -44,12 +45,13 @@
 enum class holder_state
 {
     active, ///< may draw, return and settle
-    fenced, ///< proved dead; its writes are refused, its shares are recovered
-    closed  ///< left nothing behind
+    fenced, ///< proved dead; its writes are rejected, its shares are recovered
+    closed  ///< has no shares left
 };
 
-/// Row `holder/<incarnation>`. Each write of a holder names this row's version,
-/// so that changing it refuses every late write. Immutable value.
+/// Row `holder/<incarnation>`. Each write of a holder is conditional on this
+/// row's version, so after a change of the row every late write is rejected.
+/// Immutable value.
 struct holder_row
 {
     holder_state state{holder_state::active};
@@ -59,8 +61,9 @@
     friend bool operator==(holder_row const&, holder_row const&) = default;
 };
 
-/// Row `spent/<incarnation>`: what the holder has settled so far, by budget.
-/// Written together with the ledger row of batch `seq`. Immutable value.
+/// Row `spent/<incarnation>`: the tokens that the holder has settled, by
+/// budget. Written together with the ledger row of batch `seq`. Immutable
+/// value.
 struct spent_row
 {
     std::uint64_t seq{};
@@ -69,36 +72,37 @@
     friend bool operator==(spent_row const&, spent_row const&) = default;
 };
 
-/// Row `held/<budget>/<incarnation>`: the report of a recovery that could not
-/// prove what the dead holder had answered for. Immutable value.
+/// Row `held/<budget>/<incarnation>`: the tokens that a recovery held back
+/// since the dead holder may have used them without a bill. Immutable value.
 struct held_row
 {
     token_count granted{};
     token_count spent{};
-    token_count tokens{}; ///< at most this much was answered without a bill
-    bool released{false}; ///< an operator gave the tokens back to the budget
+    token_count tokens{}; ///< at most this much was used without a bill
+    bool released{false}; ///< an operator returned the tokens to the budget
 
     friend bool operator==(held_row const&, held_row const&) = default;
 };
 
-/// Keys. Thread safe.
+/// Keys of the rows. Thread safe.
 std::string budget_key(budget_id const& budget);
-/// The holder first: what one dead holder leaves is found by one scan, and not
-/// by asking for its share of each of 850,000 budgets.
+/// The holder comes first, so that one scan finds all shares of a dead holder
+/// instead of reads of its share of each of 850,000 budgets.
 std::string share_prefix(incarnation_id const& holder);
 std::string share_key(budget_id const& budget, incarnation_id const& holder);
 std::string holder_key(incarnation_id const& holder);
-/// Row that exists once the platform's VM list has shown the incarnation. Apart
-/// from the holder row, whose version must not change while it is alive.
+/// Row that exists once the platform's VM list has shown the incarnation. It is
+/// separate from the holder row, whose version must not change while the holder
+/// is alive.
 std::string listed_key(incarnation_id const& holder);
 std::string spent_key(incarnation_id const& holder);
 std::string ledger_key(incarnation_id const& holder, std::uint64_t seq);
 std::string ledger_prefix(incarnation_id const& holder);
-/// Row that holds the bill of an answer which is kept for whoever asks again.
-/// It is written together with the answer and deleted together with the bill's
-/// own settlement, so that a router that dies in between leaves the bill behind
-/// and not only the answer. Two bills of one request, whose caller left and
-/// came back, have a row each.
+/// Row with the bill of a response that is kept for retries of its request. It
+/// is written together with the response and deleted in the write that settles
+/// the bill, so a router that dies in between leaves the bill as well as the
+/// response. Two bills of one request, whose caller left and came back, have
+/// separate rows.
 std::string answered_key(incarnation_id const& holder, bill const& cost);
 std::string answered_prefix(incarnation_id const& holder);
 std::string held_key(budget_id const& budget, incarnation_id const& holder);
@@ -112,8 +116,8 @@
 std::string encode(held_row const& row);
 std::string encode(std::vector<bill> const& bills);
 
-/// The row of a JSON text. Thread safe. Error `invalid` when a member is
-/// missing, of another type, or negative where it counts tokens.
+/// Decodes a row from JSON text. Thread safe. Error `invalid` if a member is
+/// missing, has another type, or is a negative number of tokens.
 result<budget_row> decode_budget(std::string const& text);
 result<share_row> decode_share(std::string const& text);
 result<holder_row> decode_holder(std::string const& text);
--- a/include/caperpath/budget/settlement.hpp
+++ b/include/caperpath/budget/settlement.hpp
@@ -13,12 +13,12 @@
 namespace caperpath::budget
 {
 
-/// When bills are written. Immutable value.
+/// When bills are written to the ledger. Immutable value.
 struct settle_options
 {
-    duration durable_interval{100};    ///< somebody waits: overspend_first
-    duration deferred_interval{3'000}; ///< nobody waits: false_refusals_first
-    std::size_t batch{100};            ///< bills in one write, at most
+    duration durable_interval{100};    ///< overspend_first: a caller waits
+    duration deferred_interval{3'000}; ///< false_refusals_first: none waits
+    std::size_t batch{100};            ///< maximum number of bills in one write
 
     friend bool operator==(settle_options const&,
                            settle_options const&) = default;
@@ -32,15 +32,16 @@
     friend bool operator==(queued_bill const&, queued_bill const&) = default;
 };
 
-/// The bills of all budgets at one router that are not in the ledger. Batches
-/// go out one at a time; a batch whose answer was lost is sent again unchanged
-/// under the same number until it is known what became of it. Value type.
+/// The bills of all budgets at one router that are not in the ledger yet.
+/// Batches are written one at a time. A batch whose response was lost is
+/// retried unchanged under the same number until its outcome is known. Value
+/// type.
 struct settlement_state
 {
     spent_row spent;               ///< as last confirmed
     std::uint64_t spent_version{}; ///< 0: no row yet
     std::deque<queued_bill> pending;
-    std::vector<bill> batch; ///< sent, result not known
+    std::vector<bill> batch; ///< sent, outcome unknown
     bool busy{false};
     bool fenced{false};
     int failures{};
@@ -50,7 +51,7 @@
                            settlement_state const&) = default;
 };
 
-/// Adds a bill; its policy says how soon it is due. Thread safe.
+/// Adds a bill; the policy determines when it is due. Thread safe.
 settlement_state queue_bill(settlement_state state, bill cost,
                             config::budget_policy policy,
                             settle_options const& options, instant now);
@@ -61,8 +62,8 @@
     std::optional<store::transaction> txn;
 };
 
-/// Builds the next batch when one is due, or the same one again. With `all`
-/// nothing waits for its time. Thread safe.
+/// Builds the next batch if one is due, or the previous one for a retry. With
+/// `all`, bills are written before they are due. Thread safe.
 settle_step next_batch(settlement_state state, holder_view const& holder,
                        settle_options const& options, instant now,
                        bool all = false);
@@ -70,14 +71,14 @@
 struct settled_step
 {
     settlement_state state;
-    std::vector<bill> durable; ///< in the ledger now, not reported before
+    std::vector<bill> durable; ///< newly known to be in the ledger
 };
 
-/// The result of the write that `next_batch` built. Thread safe.
+/// Applies the result of the write that `next_batch` built. Thread safe.
 settled_step batch_written(settlement_state state, holder_view const& holder,
                            store::commit_result const& outcome, instant now);
 
-/// When `next_batch` may have something to do. Thread safe.
+/// When `next_batch` may return a batch. Thread safe.
 instant next_due(settlement_state const& state, instant now);
 
 } // namespace caperpath::budget
--- a/include/caperpath/budget/share.hpp
+++ b/include/caperpath/budget/share.hpp
@@ -14,13 +14,14 @@
 #include <unordered_map>
 #include <vector>
 
-/// One budget as one router holds it: a plain value and functions from value
-/// to value. The caller carries out the steps that `next_step` asks for, one
-/// at a time, and brings their results back.
+/// The state of one budget at one router: a plain value, and pure functions
+/// that return the next state. The caller executes the steps that `next_step`
+/// returns, one at a time, and passes their results back.
 namespace caperpath::budget
 {
 
-/// The holder row as this router wrote it; each write names its version.
+/// The holder row as this router wrote it. Each write is conditional on its
+/// version.
 struct holder_view
 {
     incarnation_id incarnation;
@@ -29,24 +30,24 @@
     friend bool operator==(holder_view const&, holder_view const&) = default;
 };
 
-/// The budget row as last seen.
+/// The budget row as last read.
 struct seen_budget
 {
     budget_row row;
     std::uint64_t version{}; ///< 0: the row does not exist
-    instant at{};            ///< it was so at this time
-    instant wish_since{};    ///< it names the tokens wanted since then
+    instant at{};            ///< when the row had this version
+    instant wish_since{};    ///< since when `wanted` has its value
 
     friend bool operator==(seen_budget const&, seen_budget const&) = default;
 };
 
-/// What a whole wait could not bring together.
+/// Waits that ended without enough tokens for their reservation.
 struct fruitless_wait
 {
-    token_count amount{}; ///< the least of those waits
+    token_count amount{}; ///< the smallest amount waited for
     std::uint64_t budget_version{};
     instant since{}; ///< end of the first wait at this version
-    instant last{};  ///< end of the latest
+    instant last{};  ///< end of the latest wait
 
     friend bool operator==(fruitless_wait const&,
                            fruitless_wait const&) = default;
@@ -59,13 +60,13 @@
     token_count amount{};
     instant since{};
     instant until{};
-    bool is_transfer{false}; ///< for another router
+    bool is_transfer{false}; ///< the tokens go to another router
 
     friend bool operator==(waiting_reservation const&,
                            waiting_reservation const&) = default;
 };
 
-/// What the write under way makes of the rows if it takes effect.
+/// The rows after the write in progress, if it takes effect.
 struct planned_write
 {
     std::optional<share_row> share;
@@ -76,40 +77,40 @@
                            planned_write const&) = default;
 };
 
-/// What one router knows and holds of one budget. Value type.
+/// What one router knows about one budget and holds of it. Value type.
 struct share_state
 {
     budget_id budget;
     config::budget_policy policy{};
     sizing sizes;
-    bool fenced{false}; ///< the holder row was changed by somebody else
+    bool fenced{false}; ///< another router changed the holder row
 
     std::optional<seen_budget> seen;
     share_row share;               ///< as last confirmed
     std::uint64_t share_version{}; ///< 0: no share row yet
     std::optional<planned_write> planned;
-    /// Set while writes whose answer was lost may still take effect: the least
-    /// that any of them leaves.
+    /// Set while writes whose response was lost may still take effect: the
+    /// smallest share that any of them leaves.
     std::optional<share_row> floor;
-    bool look_first{false}; ///< a lost answer: see what became of it
-    token_count wanting{};  ///< what this router put into `wanted`
+    bool look_first{false}; ///< a response was lost: read the rows first
+    token_count wanting{};  ///< what this router wrote to `wanted`
 
-    /// What this router should hold by what all tell of themselves; set by the
-    /// caller, nothing while it is not known.
+    /// What this router should hold according to the reports of all routers.
+    /// Set by the caller; empty while unknown.
     std::optional<deal> dealt;
-    /// Of what the others want or lack, this holder has to return some: those
-    /// that have more to spare do not cover it.
+    /// This holder has to return tokens that others want or lack: the holders
+    /// with more spare tokens do not cover them.
     bool must_return{true};
-    instant moved_at{}; ///< the latest draw or return without need
+    instant moved_at{}; ///< latest draw or return that no request needed
 
-    token_count received{}; ///< from other routers, beside what was drawn
+    token_count received{}; ///< from other routers, in addition to draws
     token_count given{};    ///< to other routers; counted as spent here
-    /// Other routers are asked for tokens, and this one draws only if it has
-    /// to: `draws` tells.
+    /// This router requests tokens from other routers, and draws from the
+    /// budget row only while `draws` is set.
     bool has_peers{false};
     bool draws{true};
 
-    /// No more than this may be spent at present, whatever is granted.
+    /// Upper bound on what may be spent now, independent of the granted tokens.
     std::optional<token_count> spend_limit;
 
     token_count reserved{};  ///< open reservations
@@ -118,85 +119,88 @@
     std::unordered_map<request_id, token_count> open;
     std::vector<waiting_reservation> waiting;
 
-    /// When the budget row has not changed for long, waiting for as much again
-    /// is of no use.
+    /// While the budget row stays unchanged for long after this wait, another
+    /// wait for at least as much cannot succeed.
     std::optional<fruitless_wait> fruitless;
 
     rate_meter rate;
-    rate_meter others; ///< what the other holders draw, less what they return
+    rate_meter others;         ///< draws of the other holders, less returns
     token_count last_amount{}; ///< of the latest reservation
-    bool busy{false};          ///< a step is under way
+    bool busy{false};          ///< a step is in progress
     bool closing{false};       ///< returns everything, admits nothing
-    int failures{};            ///< of the store, in a row
-    int conflicts{};           ///< with writes of other routers, in a row
+    int failures{};            ///< consecutive failures of the store
+    int conflicts{};           ///< consecutive conflicts with other routers
     std::optional<instant> down_since;
     instant retry_at{};
 
     friend bool operator==(share_state const&, share_state const&) = default;
 };
 
-/// A state of a budget that this router has not drawn on. Thread safe.
+/// The state of a budget that this router has not drawn from. Thread safe.
 share_state make_share(budget_id budget, config::budget_policy policy,
                        sizing sizes);
 
-/// Tokens that may be reserved now without asking anybody. Thread safe.
+/// Tokens that may be reserved now without the store or another router. Thread
+/// safe.
 token_count free_tokens(share_state const& state);
 
-/// All that was or may yet be spent: settled, unsettled and reserved. Thread
-/// safe.
+/// Everything that was or may still be spent: settled, unsettled and reserved
+/// tokens. Thread safe.
 token_count used_tokens(share_state const& state);
 
-/// The sum of the reservations that wait. Thread safe.
+/// The sum of the waiting reservations. Thread safe.
 token_count waiting_tokens(share_state const& state);
 
-/// The share of a dead holder with `granted` tokens, of which up to `spent` may
-/// be gone, as this holder's own: its row was renamed in one transaction that
-/// gave it `version`. @pre nothing was drawn yet. Thread safe.
+/// Takes over the share of a dead holder with `granted` tokens, of which up to
+/// `spent` may be spent. One transaction has renamed its row to this holder's
+/// and given it `version`. @pre nothing was drawn yet. Thread safe.
 share_state inherit(share_state state, token_count granted, token_count spent,
                     std::uint64_t version);
 
-/// `tokens` came from another router. Thread safe.
+/// Adds `tokens` received from another router. Thread safe.
 share_state received(share_state state, token_count tokens);
 
-/// A reservation for another router was admitted: its tokens are on their way
-/// and spent here. @pre `request` is open. Thread safe.
+/// Counts the tokens of an admitted reservation for another router as spent
+/// here, before they are sent. @pre `request` is open. Thread safe.
 share_state handed_over(share_state state, request_id const& request);
 
-/// The state and, when the reservation was decided, the reply.
+/// The state and, if the reservation was decided, the reply.
 struct reserve_step
 {
     share_state state;
     std::optional<reserve_reply> reply;
 };
 
-/// Sets the worst case aside, refuses, or lets the reservation wait (no reply
-/// yet; `answer_waiting` will give it). Thread safe.
+/// Reserves the worst case, rejects it, or queues the reservation (no reply
+/// yet; a later call that decides waiting reservations returns it). Thread
+/// safe.
 reserve_step reserve(share_state state, reserve_request const& request,
                      instant now);
 
 /// Ends a reservation: its bill is unsettled from now on. `accepted` is false
-/// when no such reservation is open (a repeat): nothing changed and the bill
-/// must not be queued again. Thread safe.
+/// if no such reservation is open (a retry): nothing changed and the bill must
+/// not be queued again. Thread safe.
 struct finish_step
 {
     share_state state;
     bool accepted{};
-    /// The answer may end before the bill is durable: false_refusals_first,
-    /// and what the recovery of this router would hold back covers it.
+    /// The response may end before the bill is durable: the policy is
+    /// false_refusals_first, and the tokens that a recovery of this router
+    /// would hold back cover the bill.
     bool may_end{};
-    bill cost; ///< at most what had been reserved
+    bill cost; ///< at most the reserved tokens
 };
 finish_step finish(share_state state, finish_request const& request,
                    instant now);
 
-/// Forgets a reservation, waiting or open, that nothing was run for. Thread
+/// Removes a waiting or open reservation whose request was not executed. Thread
 /// safe.
 share_state cancel(share_state state, request_id const& request);
 
-/// `tokens` of this budget are in the ledger now. Thread safe.
+/// Marks unsettled `tokens` as written to the ledger. Thread safe.
 share_state settled(share_state state, token_count tokens);
 
-/// A reservation that stopped waiting.
+/// A waiting reservation that was admitted or rejected.
 struct answered_reservation
 {
     request_id request;
@@ -212,25 +216,25 @@
     std::vector<answered_reservation> answers;
 };
 
-/// Admits what fits now and refuses what waited long enough or cannot fit.
-/// Call after each step and when time passes. Thread safe.
+/// Admits waiting reservations that fit now and rejects those that timed out or
+/// cannot fit. Call after each step and as time passes. Thread safe.
 answer_step answer_waiting(share_state state, instant now);
 
-/// Refuses the callers' reservations that what is free does not cover: whoever
-/// could give tokens has none. `retry_after` as in `reserve_reply`. Thread
-/// safe.
+/// Rejects the callers' reservations that the free tokens do not cover, because
+/// no other router has tokens to give. `retry_after` as in `reserve_reply`.
+/// Thread safe.
 answer_step refuse_uncovered(share_state state, duration retry_after,
                              instant now);
 
 enum class step_kind
 {
     none,
-    look, ///< read the budget row and the share row: `looked`
-    write ///< commit `txn`: `wrote`
+    look, ///< read the budget, share and holder rows
+    write ///< commit `txn`
 };
 
-/// What to do next for this budget. While it is under way `state.busy` is set
-/// and no other step is given out, so draws are coalesced.
+/// What to do next for this budget. `state.busy` is set while the step is in
+/// progress; no other step is returned in the meantime, so draws are coalesced.
 struct table_step
 {
     share_state state;
@@ -238,40 +242,40 @@
     store::transaction txn;
 };
 
-/// Chooses a draw, a return, a look or nothing. Thread safe.
+/// Chooses a draw, a return, a read or nothing. Thread safe.
 table_step next_step(share_state state, holder_view const& holder, instant now);
 
-/// When `next_step` may have something to do without any event. Thread safe.
+/// When `next_step` may return a step without any event. Thread safe.
 instant next_due(share_state const& state, instant now);
 
-/// The result of a look: the rows that exist. Thread safe.
+/// Applies the result of a read: the rows that exist. Thread safe.
 share_state looked(share_state state, holder_view const& holder,
                    std::vector<store::row> const& rows, instant now);
 
-/// The budget row as a feed shows it, or nothing new: it is still as it was
-/// seen. Thread safe.
+/// Applies the budget row from a feed, or notes that the feed shows no newer
+/// version than the one last read. Thread safe.
 share_state noticed(share_state state, store::row const& budget, instant now);
 share_state unchanged(share_state state, instant now);
 
-/// A look failed. Thread safe.
+/// Records that a read failed. Thread safe.
 share_state look_failed(share_state state, instant now);
 
-/// The store was reached, or not, on behalf of something else (settlement).
-/// Thread safe.
+/// Records whether another operation (settlement) reached the store. Thread
+/// safe.
 share_state store_result(share_state state, bool reached, instant now);
 
-/// The keys of a look, in no particular order. Thread safe.
+/// The keys that a read step reads, in no particular order. Thread safe.
 std::vector<std::string> look_keys(share_state const& state,
                                    holder_view const& holder);
 
-/// Stops admission; from now on `next_step` returns the share as it becomes
-/// free and deletes its row when nothing is open. Thread safe.
+/// Stops admission. From now on `next_step` gives the tokens of the share back
+/// as they become free and deletes its row when nothing is open. Thread safe.
 share_state close(share_state state);
 
-/// True when nothing of this budget is left at this router. Thread safe.
+/// True if this router holds nothing of this budget. Thread safe.
 bool is_closed(share_state const& state);
 
-/// The result of a write that `next_step` asked for. Thread safe.
+/// Applies the result of a write that `next_step` returned. Thread safe.
 share_state wrote(share_state state, holder_view const& holder,
                   store::commit_result const& outcome, instant now);
 
--- a/include/caperpath/budget/sizing.hpp
+++ b/include/caperpath/budget/sizing.hpp
@@ -11,9 +11,10 @@
 namespace caperpath::budget
 {
 
-/// Tokens a second that one budget loses at one router, smoothed over some ten
-/// seconds. A reservation counts up, what it did not use counts down, so that
-/// the figure follows consumption and not the worst cases. Immutable value.
+/// Tokens per second that one router consumes of one budget, smoothed over
+/// about ten seconds. Reservations add to it and their unused part is
+/// subtracted, so that it follows consumption and not the worst case. Immutable
+/// value.
 struct rate_meter
 {
     instant since{};
@@ -24,109 +25,112 @@
     friend bool operator==(rate_meter const&, rate_meter const&) = default;
 };
 
-/// The meter after `tokens` were taken (or, if negative, given back) at `now`.
+/// The meter after `tokens` were taken (or, if negative, returned) at `now`.
 /// Thread safe.
 rate_meter metered(rate_meter meter, token_count tokens, instant now);
 
-/// How large shares are and how often rows are looked at. Immutable value.
+/// The sizes of shares and how often rows are read. Immutable value.
 struct sizing
 {
     duration horizon{};  ///< a draw covers this much of the router's traffic
     duration exposure{}; ///< bills of this much traffic may be unsettled while
-                         ///< their answers end
-    /// Each holder draws when it has less than a part of its horizon free; the
-    /// part is drawn for each holder between these, so that holders that
+                         ///< their responses end
+    /// A holder draws when it has less than a fraction of its horizon's need
+    /// free. The fraction is random between these two, so that holders that
     /// started together do not all refill at once.
     double lowest_level{0.25};
     double highest_level{0.5};
-    /// A share covers at least this much, and this many of the latest request
-    /// beyond the traffic of its horizon; a draw brings at least so many.
+    /// A share covers at least the larger of `least_ahead` tokens and
+    /// `requests_ahead` times the latest request. A refill draws at least
+    /// `requests_ahead` times the latest request.
     std::int64_t requests_in_draw{2};
     std::int64_t requests_ahead{2};
     token_count least_ahead{};
-    /// If set, what is held beyond the need of the traffic is at most the
-    /// remainder divided by this and the number of holders.
+    /// If set, the tokens held in addition to the need of the traffic are at
+    /// most the remainder / (spare_divisor * holders).
     std::int64_t spare_divisor{0};
     std::int64_t end_divisor{2}; ///< no draw ahead takes more than the
                                  ///< remainder / (end_divisor * holders)
-    /// Where the traffic of a customer goes to few routers, an even part of the
-    /// remainder starves those: if set, a holder keeps up to this many times
-    /// the part of the remainder that its traffic is of all traffic.
+    /// If a customer's traffic goes to few routers, an even part of the
+    /// remainder is too small for them. If set, a holder keeps up to this many
+    /// times the part of the remainder that matches its part of all traffic.
     double part_by_traffic{0};
     /// If set, a holder with more than this many times what it needs ahead
-    /// gives the rest back, also far from the end: its traffic has moved
-    /// elsewhere.
+    /// returns the rest, even far from the end of the budget: its traffic has
+    /// moved to other routers.
     double idle_factor{0};
-    /// While another holder wants more than is ungranted, each gives back what
-    /// it has free; of few holders each keeps some, since all of it would only
-    /// be drawn again: half at this number of holders, a tenth at nine times as
-    /// many. 0: all goes back.
+    /// While another holder wants more than is ungranted, each holder returns
+    /// free tokens but keeps a part, since all of them would only be drawn
+    /// again: half at this number of holders, a tenth at nine times as many.
+    /// 0: each returns all.
     std::int64_t half_kept_at{0};
-    /// Such a return is not worth its write if it is less than what is wanted,
-    /// divided by this and the number of holders; 0: each is.
+    /// The smallest such return that is worth its write is the wanted tokens
+    /// / (least_return_part * holders). 0: every return is.
     std::int64_t least_return_part{0};
-    /// After a wait without any result, requests for as much are refused at
-    /// once for so long, times the number of holders.
+    /// After a wait without success, requests for at least as much are rejected
+    /// at once for this long, times the number of holders.
     duration refuse_at_once{0};
-    /// With a deal: a draw below this part of the target, a return above this
-    /// many times it, and the pause between two of them, which grows with the
-    /// number of holders.
+    /// With an allocation, a holder draws below the first and returns above the
+    /// second of these multiples of its target. The pause between two such
+    /// moves grows with the number of holders.
     double deal_low{0.7};
     double deal_high{1.4};
     duration deal_pause{400};
     duration deal_pause_per_holder{15};
     std::int64_t near_end_part{50}; ///< near the end: ungranted < paid / this
-    duration fresh{50};             ///< a row seen this long ago may be used
-    duration look_interval{1'000};  ///< of a holder of idle tokens
-    duration near_end_look{200};    ///< the same near the end of the budget
-    duration waiting_look{50};      ///< while a reservation waits
-    /// The pauses between looks without somebody waiting grow with the number
-    /// of holders, so that all together look at a row no more often.
+    duration fresh{50};             ///< a row read this long ago may be used
+    duration look_interval{1'000}; ///< between reads by a holder of idle tokens
+    duration near_end_look{200};   ///< near the end of the budget
+    duration waiting_look{50};     ///< while a reservation waits
+    /// While no reservation waits, the pauses between reads grow with the
+    /// number of holders, so that the total rate of reads of a row does not.
     duration look_per_holder{0};
     duration near_end_look_per_holder{0};
     duration store_down_after{2'000}; ///< no admission under overspend_first
-                                      ///< after so long without the store
+                                      ///< after this long without the store
 
     friend bool operator==(sizing const&, sizing const&) = default;
 };
 
 /// The defaults of a policy. `overspend_first` draws for a shorter time, so
-/// that a dead or cut off holder strands less; `false_refusals_first` draws for
-/// a longer time, so that an outage of the store refuses less. Thread safe.
+/// that a dead or disconnected holder strands fewer tokens.
+/// `false_refusals_first` draws for a longer time, so that fewer requests are
+/// rejected during an outage of the store. Thread safe.
 sizing sizing_for(config::budget_policy policy);
 
-/// Tokens that the budget row has not given out. Thread safe.
+/// Paid tokens that are not granted: not in a share, spent or held. Thread
+/// safe.
 token_count ungranted(budget_row const& row);
 
-/// True when the last tokens must not be scattered over idle holders. Thread
-/// safe.
+/// True if so few tokens are left that they must not be scattered over idle
+/// holders. Thread safe.
 bool near_end(budget_row const& row, sizing const& sizes);
 
-/// The most that one of the holders may draw ahead of need when all holders
-/// count the same. Thread safe. `newcomer` counts a holder that has no share
-/// row yet.
+/// The maximum that a holder may draw ahead of need if all holders count the
+/// same. `newcomer` adds a holder that has no share row yet. Thread safe.
 token_count fair_part(budget_row const& row, sizing const& sizes,
                       bool newcomer);
 
-/// What to draw when waiting reservations lack `need` tokens, `free` are idle,
-/// the traffic of the horizon is `ahead` and at most `most` may be held ahead
-/// of need. Never more than is ungranted; `need` comes before all else. Thread
-/// safe. @pre `need` >= 0.
+/// The tokens to draw if waiting reservations lack `need` tokens, `free` are
+/// idle, the traffic of the horizon is `ahead` and at most `max_ahead` may be
+/// held ahead of need. Never more than is ungranted: 0 if that does not cover
+/// `need`. Thread safe. @pre `need` >= 0.
 token_count draw_size(budget_row const& row, token_count need, token_count free,
-                      token_count ahead, token_count most);
+                      token_count ahead, token_count max_ahead);
 
-/// Pause after `conflicts` in a row with other writers of a row: none after the
-/// first when somebody waits, then up to twice as long each time, spread by
-/// `salt`, so that hundreds of routers do not keep refusing each other. Thread
-/// safe.
-duration conflict_pause(int conflicts, bool somebody_waits, std::size_t salt);
+/// The pause after `conflicts` consecutive conflicts with other writers of a
+/// row: 0 after the first if a reservation waits. Its upper bound doubles with
+/// each conflict, with jitter from `salt`, so that hundreds of routers do not
+/// keep conflicting. Thread safe.
+duration conflict_pause(int conflicts, bool reservation_waits,
+                        std::size_t salt);
 
-/// A part in [0, 1) that differs from salt to salt. Thread safe.
+/// A pseudo-random fraction in [0, 1) computed from `salt`. Thread safe.
 double spread_of(std::size_t salt);
 
-/// Doubling pause after `failures` in a row, with a jitter that depends on
-/// `salt`, so that routers do not return to a recovering store together.
-/// Thread safe.
+/// The pause after `failures` consecutive failures. It doubles with each, with
+/// jitter from `salt`, so that routers do not all return to a recovering store
+/// at once. Thread safe.
 duration backoff(int failures, std::size_t salt);
 
 } // namespace caperpath::budget
--- a/include/caperpath/budget/spend_journal.hpp
+++ b/include/caperpath/budget/spend_journal.hpp
@@ -10,42 +10,45 @@
 #include <optional>
 #include <string>
 
-/// How much of its shares a router may have spent, as its successor at the same
-/// address reads it after a crash.
+/// Upper bounds on what a router has spent of its shares, for its successor at
+/// the same address after a crash.
 ///
-/// A share has to be deep enough for an outage of the store, and a router that
-/// dies would strand all of it. So each router keeps one row with a line for
-/// each budget: the most that it may have spent at a store time, and how much
-/// more with each second some time after it. It never spends above its lines. A
-/// successor reads the row, follows the lines to the store's time of its own
-/// first write and takes over what lies above them, however old the row is. The
-/// lines are flat for as long as a crash is likelier than an outage of the
-/// store, and rise afterwards, so that few are refused for want of a write.
+/// A share has to last for an outage of the store, and a router that dies would
+/// strand all of it. So each router keeps one row with a spend limit for each
+/// budget: an upper bound on its spending at a store time, which rises with
+/// each second from some time after that. It never spends above these limits. A
+/// successor reads the row, computes the limits at the store time of its own
+/// first write and takes over the tokens above them, however old the row is.
+/// The limits are flat for as long as a crash is more likely than an outage of
+/// the store, and rise afterwards, so that few requests are rejected because a
+/// write is missing.
 ///
-/// The clocks: a router knows the store's time only as that of the latest
-/// acknowledgement plus its own monotonic time since that came in. This is
-/// never later than the real one, since the answer took time to come and the
-/// monotonic clock stands still while the machine is suspended. So the line is
+/// Clocks: a router estimates the store's time as that of the latest
+/// acknowledgement plus its own monotonic time since it was received. This is
+/// never later than the real store time, since the response took time to arrive
+/// and the monotonic clock stops while the machine is suspended. So a limit is
 /// never higher for the router than for its successor.
 namespace caperpath::budget
 {
 
-/// The most that may be spent of one budget, as a function of store time.
-/// Immutable value.
+/// The spend limit of one budget: an upper bound on what may have been spent,
+/// as a function of store time. Immutable value.
 struct spend_line
 {
-    token_count spent{};      ///< at most, for `flat_for` from the row's time
-    token_count per_second{}; ///< more with each second after that
-    /// What other routers had given by the time of the row. It has no row of
-    /// its own: a successor takes it over from here.
+    token_count spent{};      ///< the bound while the limit is flat, from the
+                              ///< row's time
+    token_count per_second{}; ///< the rise per second after that
+    /// Tokens received from other routers by the time of the row. They have no
+    /// row of their own: a successor takes them over from here.
     token_count received{};
-    bool has_share{true}; ///< there is, or may be, a share row
-    token_count given{};  ///< of `spent`, to other routers
+    bool has_share{true}; ///< a share row exists or may exist
+    token_count given{};  ///< part of `spent`: sent to other routers
 
     friend bool operator==(spend_line const&, spend_line const&) = default;
 };
 
-/// A router that crashes alone or with all others is back this soon.
+/// Spend limits are flat for this long: a router that crashes, alone or with
+/// all others, restarts within this time.
 inline constexpr duration flat_for{900};
 
 /// Row `spend/<vm>`. Immutable value.
@@ -53,81 +56,82 @@
 {
     incarnation_id router;
     std::string address; ///< "IP:port" that the process has bound
-    /// Store time at which the lines begin; 0 before the first acknowledgement.
+    /// Store time at which the limits begin; 0 before the first
+    /// acknowledgement.
     std::int64_t at_ms{};
     std::map<budget_id, spend_line> lines;
 
     friend bool operator==(spend_row const&, spend_row const&) = default;
 };
 
-/// Thread safe. The key of a VM's row.
+/// The key of a VM's row. Thread safe.
 std::string spend_key(std::string const& vm);
 
-/// Thread safe. JSON text of a row, and back; error `invalid` when a member is
-/// missing or has another type.
+/// Encodes a row as JSON text and decodes it. Decoding fails with `invalid` if
+/// a member is missing or has another type. Thread safe.
 std::string encode(spend_row const& row);
 result<spend_row> decode_spend(std::string const& text);
 
-/// A router's own row as it stands. Value type.
+/// What a router knows of its own row. Value type.
 struct spend_journal
 {
     spend_row written; ///< as last acknowledged
-    /// Sent and not acknowledged: it may be in the store, or get there later.
+    /// Sent and not acknowledged: the store may have it or receive it later.
     std::optional<spend_row> pending;
     std::optional<instant> last_acknowledged; ///< on this router's clock
-    std::int64_t acknowledged_ms{};           ///< the same on the store's clock
-    std::uint64_t version{};                  ///< of the row, 0: none
-    bool fenced{false}; ///< another process has the address
+    std::int64_t acknowledged_ms{}; ///< the same time on the store's clock
+    std::uint64_t version{};        ///< of the row; 0: no row
+    bool fenced{false};             ///< another process has bound the address
 
     friend bool operator==(spend_journal const&,
                            spend_journal const&) = default;
 };
 
-/// A successor counts the lines so much longer, for clocks that run at slightly
-/// different rates and for whole milliseconds. A fixed margin would have to be
-/// that of the longest age, and most routers are back soon.
+/// A successor adds this part of the row's age, because clock rates differ
+/// slightly, and a minimum for rounding to whole milliseconds. A fixed margin
+/// would have to cover the longest age, although most routers restart soon.
 inline constexpr std::int64_t clock_margin_divisor = 100;
 inline constexpr duration least_clock_margin{10};
 
-/// What a router holds of one budget. Immutable value.
+/// The tokens that a router holds of one budget. Immutable value.
 struct held_tokens
 {
     token_count granted{};  ///< in its share row
-    token_count received{}; ///< from other routers, by messages
+    token_count received{}; ///< from other routers, by datagrams
 
     friend bool operator==(held_tokens const&, held_tokens const&) = default;
 };
 
-/// The most that may be spent of `budget` now. What was received after a row
-/// was written is not in it, so no successor takes it over and it may be spent
-/// at once. Thread safe.
+/// The upper bound on spending of `budget` now. Tokens received after the row
+/// was written are not in it, so no successor takes them over and they may be
+/// spent at once. 0 before the first acknowledgement and while fenced. Thread
+/// safe.
 token_count spend_limit(spend_journal const& journal, budget_id const& budget,
                         held_tokens const& held, instant now);
 
-/// The row to send next. One that was sent before and is not decided is sent
-/// again as it was, so that there are never more than two that the store may
-/// hold. Thread safe.
+/// The row to send next. A row without a known result is retried unchanged, so
+/// that the store can hold at most two versions. Thread safe.
 spend_row next_row(spend_journal const& journal,
                    std::map<budget_id, spend_line> const& wanted, instant now);
 
-/// `row` is under way: from now on its lines bind too. Thread safe.
+/// Records that `row` is sent: its limits apply from now on. Thread safe.
 spend_journal sent(spend_journal journal, spend_row const& row);
 
-/// The store acknowledged the row under way at its time `store_ms`. Thread
-/// safe.
+/// Records that the store acknowledged the pending row at its time `store_ms`.
+/// Thread safe.
 spend_journal acknowledged(spend_journal journal, std::uint64_t version,
                            std::int64_t store_ms, instant now);
 
-/// The store holds `row` of this router under `version`, written at a time that
-/// is not known. Thread safe.
+/// Records that the store holds `row` of this router under `version`, written
+/// at an unknown time. Thread safe.
 spend_journal found_own(spend_journal journal, spend_row const& row,
                         std::uint64_t version);
 
-/// What a dead router at the same address leaves of each budget: `spent` is the
-/// most that it can have spent. Nothing if the row is of another address or
-/// names no time. `dead_ms` is a store time after its death. Thread safe.
+/// What a dead router at the same address left of each budget; `spent` is an
+/// upper bound on its spending. Empty if `row` is of another address or has no
+/// time. `dead_ms` is a store time after its death. Thread safe.
 std::optional<std::map<budget_id, spend_line>>
-spent_at_most(spend_row const& of, std::string const& own_address,
+spent_at_most(spend_row const& row, std::string const& own_address,
               std::int64_t dead_ms);
 
 } // namespace caperpath::budget
--- a/include/caperpath/budget/transfer.hpp
+++ b/include/caperpath/budget/transfer.hpp
@@ -9,18 +9,18 @@
 #include <set>
 #include <vector>
 
-/// Tokens that move from the share of one router to that of another by
-/// datagrams, which may be lost, late, doubled or overtake each other.
+/// Transfers of tokens from the share of one router to that of another by
+/// datagrams, which may be lost, delayed, duplicated or reordered.
 ///
-/// The sender counts them as spent before the first datagram goes out, and
-/// sends again until the receiver confirms. The receiver takes each number of a
-/// sender once. So tokens may be lost, when either dies in between, and never
-/// doubled. Both are meant by their incarnation: a router that comes after the
-/// receiver does not know what that one had taken.
+/// The sender counts the tokens as spent before it sends the first datagram,
+/// and retries until the receiver confirms. The receiver accepts each number of
+/// a sender once. So tokens may be lost if either dies in between, but are
+/// never duplicated. Sender and receiver are identified by incarnation: a
+/// receiver's successor does not know what its predecessor accepted.
 namespace caperpath::budget
 {
 
-/// Immutable value.
+/// One transfer of tokens. Immutable value.
 struct transfer
 {
     std::uint64_t number{}; ///< counts from 1 for each receiver
@@ -30,7 +30,7 @@
     friend bool operator==(transfer const&, transfer const&) = default;
 };
 
-/// A transfer that its receiver did not confirm yet.
+/// A transfer that its receiver has not confirmed yet.
 struct open_transfer
 {
     transfer what;
@@ -41,7 +41,7 @@
                            open_transfer const&) = default;
 };
 
-/// What was sent to one receiver.
+/// The transfers to one receiver.
 struct transfer_lane
 {
     std::uint64_t last{};
@@ -51,7 +51,7 @@
                            transfer_lane const&) = default;
 };
 
-/// All that this router sent. Value type.
+/// All transfers that this router sent. Value type.
 struct outbox
 {
     std::map<incarnation_id, transfer_lane> lanes;
@@ -59,7 +59,7 @@
     friend bool operator==(outbox const&, outbox const&) = default;
 };
 
-/// The numbers that came from one sender.
+/// The transfer numbers received from one sender.
 struct taken_numbers
 {
     std::uint64_t all_up_to{};
@@ -69,8 +69,8 @@
                            taken_numbers const&) = default;
 };
 
-/// All that this router took. A sender is never forgotten: one that was cut off
-/// for long may send again what it sent before. Value type.
+/// All transfers that this router accepted. Senders are never removed: one that
+/// was disconnected for long may still retry old transfers. Value type.
 struct inbox
 {
     std::map<incarnation_id, taken_numbers> senders;
@@ -81,43 +81,45 @@
 struct posted_transfer
 {
     outbox sent;
-    transfer what; ///< to be sent now
+    transfer what; ///< to send now
 };
 
-/// Adds a transfer to `receiver`. @pre `tokens` was taken out of the own share
-/// for good. Thread safe.
+/// Adds a transfer to `receiver`. @pre `tokens` were permanently removed from
+/// the own share. Thread safe.
 posted_transfer post(outbox sent, incarnation_id const& receiver,
                      budget_id const& budget, token_count tokens, instant now);
 
-/// The transfers that are due, each to be sent once; their next try is set.
+/// The transfers that are due, each to be sent once. Their next retry is
+/// already scheduled.
 struct due_transfers
 {
     outbox sent;
     std::map<incarnation_id, std::vector<transfer>> due;
 };
 
-/// Thread safe.
+/// Takes the transfers that are due at `now`. Thread safe.
 due_transfers take_due(outbox sent, instant now);
 
-/// `receiver` has these. Thread safe.
+/// Removes the transfers that `receiver` has confirmed. Thread safe.
 outbox confirmed(outbox sent, incarnation_id const& receiver,
                  std::vector<std::uint64_t> const& numbers);
 
-/// Nobody will confirm: `receiver` is dead. Whether it had the tokens is not
-/// known, so they count as spent. Thread safe.
+/// Removes all open transfers to `receiver`, which is dead and will not
+/// confirm. It is unknown whether it received the tokens, so they count as
+/// spent. Thread safe.
 outbox abandoned(outbox sent, incarnation_id const& receiver);
 
-/// True when `receiver` did not confirm a transfer that was sent several times:
-/// what else is sent to it would wait as well. Thread safe.
+/// True if `receiver` has not confirmed a transfer after several tries: further
+/// transfers to it would be delayed as well. Thread safe.
 bool is_overdue(outbox const& sent, incarnation_id const& receiver);
 
 struct taken_transfer
 {
     inbox taken;
-    bool is_new{}; ///< its tokens are this router's now
+    bool is_new{}; ///< not a duplicate: its tokens are this router's now
 };
 
-/// `number` came from `sender`. Thread safe.
+/// Records that transfer `number` was received from `sender`. Thread safe.
 taken_transfer take(inbox taken, incarnation_id const& sender,
                     std::uint64_t number);
 
--- a/src/budget/answered.cpp
+++ b/src/budget/answered.cpp
@@ -16,7 +16,7 @@
 
 using store::commit_outcome;
 
-constexpr std::size_t rows_in_one_write = 50;
+constexpr std::size_t max_rows_per_write = 50;
 
 result<std::set<bill>> settled_bills(store::port const& port,
                                      incarnation_id const& holder)
@@ -34,8 +34,8 @@
     return settled;
 }
 
-/// A bill can be in the ledger already: the claim's row was written late, after
-/// its batch. Such a row is only deleted.
+/// A bill may already be in the ledger if its row was written late, after its
+/// batch. Such a row is only deleted.
 result<store::transaction> plan_batch(store::port const& port,
                                       incarnation_id const& holder,
                                       std::vector<store::row> const& rows)
@@ -77,21 +77,21 @@
 
 } // namespace
 
-result<void> settle_answered(store::port const& port,
-                             incarnation_id const& holder)
+result<void> settle_kept_bills(store::port const& port,
+                               incarnation_id const& holder)
 {
     store::commit_result outcome;
-    for (int attempt = 0; attempt < most_attempts;)
+    for (int attempt = 0; attempt < max_attempts;)
     {
         BOOST_LEAF_AUTO(rows, scan_all(port, answered_prefix(holder)));
         if (rows.empty())
         {
             return {};
         }
-        rows.resize(std::min(rows.size(), rows_in_one_write));
+        rows.resize(std::min(rows.size(), max_rows_per_write));
         BOOST_LEAF_AUTO(txn, plan_batch(port, holder, rows));
         outcome = port.commit(txn);
-        if (is_turned_away(outcome))
+        if (rejected_without_conflict(outcome))
         {
             break;
         }
--- a/src/budget/answered.hpp
+++ b/src/budget/answered.hpp
@@ -8,11 +8,11 @@
 namespace caperpath::budget
 {
 
-/// Brings the bills of answers that a fenced holder kept, and did not live to
-/// settle, into its ledger; see `answered_key`. Several routers may do it at
-/// once. Thread safe; blocks. On an error, repeat it. @pre the holder is fenced
-result<void> settle_answered(store::port const& port,
-                             incarnation_id const& holder);
+/// Writes the unsettled bills of responses that a fenced holder kept into its
+/// ledger. Several routers may call it at once. Thread safe; blocks. On an
+/// error, call it again. @pre the holder is fenced
+result<void> settle_kept_bills(store::port const& port,
+                               incarnation_id const& holder);
 
 } // namespace caperpath::budget
 
--- a/src/budget/distribution.cpp
+++ b/src/budget/distribution.cpp
@@ -14,33 +14,38 @@
 {
 
 constexpr double count_lifetime_ms = 10'000;
-/// This part of what is left stays in the budget row: for routers that run out
-/// while the store can be asked, and for all when they crash in an outage of
-/// the store, after which most of what they held counts as spent.
+/// This fraction of the remaining tokens stays in the budget row: for routers
+/// that run out while the store is reachable, and for all routers if they crash
+/// in an outage of the store, after which most of their tokens count as
+/// spent.
 constexpr double reserve_part = 0.25;
-/// So many requests the coordinator has at hand for others.
-constexpr double working_requests = 8;
-/// A router with less than this part of its target gets the rest.
+/// The coordinator's pool covers this many requests of other routers.
+constexpr double pool_requests = 8;
+/// A router with less than this fraction of its target, or of its need if that
+/// is known and smaller, is filled up to the target.
 constexpr double short_part = 0.6;
-/// A router with this many times its target can spare what is above it.
+/// A router with more than this many times its target has a surplus: everything
+/// above the target.
 constexpr double surplus_factor = 1.3;
-/// How many requests of its own a router must have had for its count to weigh
-/// as much as what its whole traffic makes expect.
-constexpr double prior_requests = 2;
-/// Each router counts as if it had this part of a mean router's traffic besides
-/// its own: callers may come to any.
+/// Weight of the prior, in requests: the fraction expected from a router's
+/// whole traffic counts as much as this many requests for the budget.
+constexpr double prior_weight = 2;
+/// Each router counts as if it had this fraction of the mean traffic in
+/// addition to its own, since callers may connect to any router.
 constexpr double least_traffic_part = 0.3;
-/// A stock below this part of a request is of no use to anybody.
+/// Tokens below this fraction of a mean request cannot serve any request.
 constexpr double least_useful_part = 0.5;
-/// A target is at most so many times the need.
-constexpr double most_needs = 3;
-/// Deviations that are no chance any more.
-constexpr double surprise = 3;
-/// More requests than expected that a router should be able to serve.
+/// A target is at most this many times the need.
+constexpr double max_target_by_need = 3;
+/// Standard deviations above the expected count that chance does not
+/// explain.
+constexpr double sticky_deviations = 3;
+/// A router's need covers this many standard deviations above the expected
+/// count.
 constexpr double deviations = 2;
-/// Routers that are asked at once for what one caller lacks.
-constexpr std::size_t most_sources = 6;
-constexpr std::size_t asked_in_turn = 3;
+/// Routers that are asked at once for the tokens that one caller lacks.
+constexpr std::size_t max_recall_sources = 6;
+constexpr std::size_t max_coordinators = 3;
 
 struct target
 {
@@ -48,8 +53,8 @@
     router_stock stock;
     double part{};
     token_count tokens{}; ///< to hold
-    token_count need{};   ///< of the next seconds; 0 while nothing is known
-    bool sticky{false};   ///< callers of the customer stay at it
+    token_count need{};   ///< of the next seconds; 0 while unknown
+    bool sticky{false};   ///< callers of the customer stay at this router
 
     bool is_coordinator() const
     {
@@ -65,7 +70,7 @@
                    (need > 0 ? std::min(enough, need) : enough);
     }
 
-    token_count lack() const
+    token_count shortage() const
     {
         return this->is_short() ? this->tokens - this->stock.free : 0;
     }
@@ -97,8 +102,8 @@
     return all;
 }
 
-/// What the requests of the next seconds will need, by those of the last ones;
-/// nothing where there were none.
+/// Sets what the requests of the next seconds will need, estimated from the
+/// recent ones; 0 if there were none. Moves sticky routers to the front.
 void set_needs(std::vector<target>& routers, budget_stock const& stock)
 {
     auto requests = stock.own.requests;
@@ -109,14 +114,16 @@
     for (auto& one : routers)
     {
         auto const expected = one.part * requests;
-        // More than chance brings: callers that stay at this router.
-        auto const chance = surprise * (std::sqrt(expected) + 1);
-        auto const sticky = one.stock.requests > expected + chance;
+        // More requests than by chance: the callers stay at this router.
+        auto const chance_excess =
+            sticky_deviations * (std::sqrt(expected) + 1);
+        auto const sticky = one.stock.requests > expected + chance_excess;
         auto const coming = sticky ? one.stock.requests : expected;
-        auto const most = coming + deviations * std::sqrt(coming) + 1;
-        one.need = requests > 0
-                       ? static_cast<token_count>(most * stock.mean_request)
-                       : 0;
+        auto const upper_bound = coming + deviations * std::sqrt(coming) + 1;
+        one.need =
+            requests > 0
+                ? static_cast<token_count>(upper_bound * stock.mean_request)
+                : 0;
         one.sticky = sticky;
     }
     std::stable_sort(routers.begin(), routers.end(),
@@ -124,9 +131,9 @@
                      { return a.sticky && !b.sticky; });
 }
 
-/// Each gets its part, and no less than one request: a budget that is too small
-/// for all routers lies at those which most likely need it. None gets more than
-/// some times its need: the rest is safer in the budget row.
+/// Each router gets its part, and at least one request: a budget that is too
+/// small for all routers goes to those most likely to need it. None gets
+/// more than a multiple of its need: the rest is safer in the budget row.
 void set_targets(std::vector<target>& routers, token_count to_spread,
                  double request)
 {
@@ -136,7 +143,8 @@
         auto const need = static_cast<double>(one.need);
         auto wanted = std::max(one.part * static_cast<double>(to_spread),
                                one.sticky ? need : request);
-        wanted = need > 0 ? std::min(wanted, need * most_needs) : wanted;
+        wanted =
+            need > 0 ? std::min(wanted, need * max_target_by_need) : wanted;
         wanted = std::min(wanted, left);
         if (wanted >= request * least_useful_part)
         {
@@ -154,32 +162,33 @@
                : 0;
 }
 
-/// What is at hand, to the routers that are short: those first that have least
-/// of what they need.
-std::vector<token_move> pushes(std::vector<target> routers, token_count at_hand)
+/// Moves the available tokens to the routers that are short, in ascending order
+/// of the fraction of their need that they have.
+std::vector<token_move> plan_pushes(std::vector<target> routers,
+                                    token_count available)
 {
-    auto const covered = [](target const& one)
+    auto const covered_part = [](target const& one)
     {
         return static_cast<double>(one.stock.free) /
                static_cast<double>(std::max<token_count>(1, one.need));
     };
     std::stable_sort(routers.begin(), routers.end(),
                      [&](auto const& a, auto const& b)
-                     { return covered(a) < covered(b); });
+                     { return covered_part(a) < covered_part(b); });
     std::vector<token_move> moves;
     for (auto const& one : routers)
     {
-        auto const tokens = std::min(one.lack(), at_hand);
+        auto const tokens = std::min(one.shortage(), available);
         if (tokens > 0)
         {
             moves.push_back({one.router, tokens});
-            at_hand -= tokens;
+            available -= tokens;
         }
     }
     return moves;
 }
 
-/// Asks back what the moves need beyond what is at hand.
+/// Recalls the tokens that the moves need beyond the available ones.
 void add_recalls(std::vector<token_move>& moves, std::vector<target> routers,
                  token_count missing)
 {
@@ -230,8 +239,7 @@
     {
         auto const part = (one.all_requests + least) / whole;
         auto const expected = part * requests;
-        return part * (one.requests + prior_requests) /
-               (expected + prior_requests);
+        return part * (one.requests + prior_weight) / (expected + prior_weight);
     };
     std::map<vm_id, double> parts{{vm_id{}, part_of(stock.own)}};
     for (auto const& [router, one] : stock.routers)
@@ -260,19 +268,19 @@
                 stock.mean_request);
     distribution found;
     auto kept = reserve;
-    token_count lack = 0;
+    token_count shortage = 0;
     for (auto const& one : routers)
     {
         kept += one.is_coordinator() ? one.tokens : 0;
-        lack += one.lack();
+        shortage += one.shortage();
     }
-    auto const working =
-        static_cast<token_count>(working_requests * stock.mean_request);
-    found.pool_target = kept - reserve + std::min(reserve, working);
-    auto const at_hand =
+    auto const pool_limit =
+        static_cast<token_count>(pool_requests * stock.mean_request);
+    found.pool_target = kept - reserve + std::min(reserve, pool_limit);
+    auto const available =
         std::max<token_count>(0, stock.pool + stock.ungranted - kept);
-    found.moves = pushes(routers, at_hand);
-    add_recalls(found.moves, routers, lack - at_hand);
+    found.moves = plan_pushes(routers, available);
+    add_recalls(found.moves, routers, shortage - available);
     return found;
 }
 
@@ -289,7 +297,7 @@
     std::stable_sort(found.begin(), found.end(),
                      [](auto const& a, auto const& b)
                      { return a.tokens < b.tokens; });
-    found.resize(std::min(found.size(), most_sources));
+    found.resize(std::min(found.size(), max_recall_sources));
     for (auto& one : found)
     {
         auto const tokens = std::min(-one.tokens, wanted);
@@ -310,7 +318,7 @@
         ranked.emplace_back(fleet::stable_hash(vm.value + "/" + budget.value),
                             vm);
     }
-    auto const count = std::min(asked_in_turn, ranked.size());
+    auto const count = std::min(max_coordinators, ranked.size());
     std::partial_sort(ranked.begin(),
                       ranked.begin() + static_cast<std::ptrdiff_t>(count),
                       ranked.end(), std::greater<>{});
--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -14,7 +14,7 @@
 
 constexpr char holder_prefix[] = "holder/";
 
-error unresolved(std::string step, store::commit_result const& outcome)
+error fault_at_step(std::string step, store::commit_result const& outcome)
 {
     auto fault = outcome.fault;
     fault.step = std::move(step);
@@ -61,14 +61,14 @@
     auto const key = holder_key(incarnation);
     holder_row const wanted{holder_state::active, address, failure_domain};
     store::commit_result outcome;
-    for (int attempt = 0; attempt < most_attempts; ++attempt)
+    for (int attempt = 0; attempt < max_attempts; ++attempt)
     {
         outcome = port.commit({{{key, 0}}, {{key, encode(wanted)}}});
         if (outcome.outcome == store::commit_outcome::applied)
         {
             return holder_view{incarnation, 1};
         }
-        if (is_turned_away(outcome))
+        if (rejected_without_conflict(outcome))
         {
             break;
         }
@@ -78,7 +78,7 @@
             continue;
         }
         BOOST_LEAF_AUTO(row, decode_holder(found.value));
-        // The row of an earlier attempt whose answer was lost.
+        // The row of an earlier attempt whose response was lost.
         if (row == wanted)
         {
             return holder_view{incarnation, found.version};
@@ -86,7 +86,7 @@
         return fail({error_kind::conflict, "bind holder", "table",
                      key + " belongs to another process or was fenced"});
     }
-    return fail(unresolved("bind holder", outcome));
+    return fail(fault_at_step("bind holder", outcome));
 }
 
 result<std::map<incarnation_id, holder_row>>
--- a/src/budget/holdings.cpp
+++ b/src/budget/holdings.cpp
@@ -11,10 +11,10 @@
 {
 
 constexpr double ms_per_second = 1'000;
-/// Two deviations cover nearly all spans that are reckoned with.
+/// Two standard deviations cover nearly all intervals.
 constexpr double deviations = 2;
-/// A router without any traffic keeps this part of an even share: the first
-/// callers that a failed neighbour leaves to it come before the next deal.
+/// A router without traffic keeps this part of an even share: the first callers
+/// of a failed neighbour arrive before the next allocation.
 constexpr double least_part = 0.1;
 constexpr double short_part = 0.5;
 constexpr duration least_read_pause{300};
@@ -32,7 +32,7 @@
     return std::max<token_count>(0, one.granted - one.spent - one.open);
 }
 
-/// What the routers that were heard of lately have and need.
+/// Sums over the routers with a recent report.
 struct sums
 {
     std::int64_t routers{1};
@@ -51,7 +51,8 @@
         {
             continue;
         }
-        // One that is gone may have returned its share and what it spent.
+        // A router without a recent report may have returned its share, and
+        // its spending may be counted as retired.
         if (is_current(one, routers, now))
         {
             all.spent += one.last.spent;
@@ -63,8 +64,8 @@
     return all;
 }
 
-/// The part of the free tokens that belongs to a need, with the least part of
-/// an even share for each router.
+/// The fraction of the free tokens for a router with this need; at least
+/// `least_part` of an even share.
 double part_of(token_count need, sums const& all)
 {
     auto const even = 1.0 / static_cast<double>(all.routers);
@@ -101,7 +102,7 @@
               budget_row const& row, std::int64_t routers, instant now)
 {
     auto all = add_up(known, self, own, routers, now);
-    // A first router that reckons alone would take all for itself.
+    // Otherwise the first router to start would allocate everything to itself.
     if (routers > all.routers)
     {
         all.need *=
@@ -109,10 +110,11 @@
         all.routers = routers;
     }
     auto const left = ungranted(row);
-    auto const to_deal = static_cast<double>(all.free + left);
+    auto const to_allocate = static_cast<double>(all.free + left);
     deal found;
     found.spent_by_all = all.spent;
-    found.target = static_cast<token_count>(to_deal * part_of(own.need, all));
+    found.target =
+        static_cast<token_count>(to_allocate * part_of(own.need, all));
     auto any_short = false;
     token_count lack = 0;
     for (auto const& [router, one] : known)
@@ -121,7 +123,7 @@
         {
             continue;
         }
-        auto const part = to_deal * part_of(one.last.need, all);
+        auto const part = to_allocate * part_of(one.last.need, all);
         auto const has = free_of(one.last);
         any_short = any_short || static_cast<double>(has) < short_part * part;
         lack += std::max<token_count>(0, static_cast<token_count>(part) - has);
--- a/src/budget/holdings_row.cpp
+++ b/src/budget/holdings_row.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::string_view key_begin = "holding/";
+constexpr std::string_view key_prefix = "holding/";
 
 } // namespace
 
@@ -25,22 +25,22 @@
 
 std::string holding_key(vm_id const& vm)
 {
-    return std::string{key_begin} + vm.value;
+    return std::string{key_prefix} + vm.value;
 }
 
 std::optional<vm_id> vm_of_holding_key(std::string const& key)
 {
-    if (!key.starts_with(key_begin))
+    if (!key.starts_with(key_prefix))
     {
         return std::nullopt;
     }
-    return vm_id{key.substr(key_begin.size())};
+    return vm_id{key.substr(key_prefix.size())};
 }
 
-std::string encode(std::map<budget_id, holding> const& told)
+std::string encode(std::map<budget_id, holding> const& reported)
 {
     std::map<std::string, holding> by_name;
-    for (auto const& [budget, one] : told)
+    for (auto const& [budget, one] : reported)
     {
         by_name.emplace_hint(by_name.end(), budget.value, one);
     }
@@ -62,12 +62,12 @@
         return fail(
             {error_kind::invalid, "decode holdings", "store", fault.what()});
     }
-    std::map<budget_id, holding> told;
+    std::map<budget_id, holding> reported;
     for (auto const& [name, one] : by_name)
     {
-        told.emplace_hint(told.end(), budget_id{name}, one);
+        reported.emplace_hint(reported.end(), budget_id{name}, one);
     }
-    return told;
+    return reported;
 }
 
 } // namespace caperpath::budget
--- a/src/budget/recovery.cpp
+++ b/src/budget/recovery.cpp
@@ -15,23 +15,24 @@
 
 using store::commit_outcome;
 
-error gave_up(char const* step, store::commit_result const& outcome)
+error fault_at_step(char const* step, store::commit_result const& outcome)
 {
     auto fault = outcome.fault;
     fault.step = step;
     return fault;
 }
 
-/// Moves the holder row on from one state. Any write of the dead holder names
-/// the version before it, so from here on the table refuses them all, also
-/// those that are still on their way.
-result<store::row> move_holder(store::port const& port,
-                               incarnation_id const& incarnation,
-                               holder_state from, holder_state to)
+/// Changes the state of the holder row if it is `from`; returns the row found
+/// otherwise. All writes of a dead holder are conditional on the version
+/// before, so from here on the table rejects them, including those still in
+/// flight.
+result<store::row> change_holder_state(store::port const& port,
+                                       incarnation_id const& incarnation,
+                                       holder_state from, holder_state to)
 {
     auto const key = holder_key(incarnation);
     store::commit_result outcome;
-    for (int attempt = 0; attempt < most_attempts; ++attempt)
+    for (int attempt = 0; attempt < max_attempts; ++attempt)
     {
         BOOST_LEAF_AUTO(rows, port.read({key}));
         auto found = find_row(rows, key);
@@ -46,12 +47,12 @@
         }
         row.state = to;
         outcome = port.commit({{{key, found.version}}, {{key, encode(row)}}});
-        if (is_turned_away(outcome))
+        if (rejected_without_conflict(outcome))
         {
             break;
         }
     }
-    return fail(gave_up("move holder", outcome));
+    return fail(fault_at_step("move holder", outcome));
 }
 
 result<spent_row> read_spent(store::port const& port,
@@ -87,8 +88,8 @@
     store::transaction txn;
 };
 
-/// What the holder had answered for without a bill is unknown; at most
-/// `exposed` it was. Given out again, those tokens would be used twice.
+/// It is unknown how many tokens the holder used without a bill; at most
+/// `exposed`. These are held, since they would be used twice if returned.
 recovery_write plan_recovery(death_proof const& proof, budget_id const& budget,
                              store::row const& budget_at, budget_row budget_now,
                              store::row const& share_at, share_row share,
@@ -114,7 +115,7 @@
     return {outcome, std::move(txn)};
 }
 
-/// Empty when somebody else has taken the share back.
+/// Empty if another router has recovered the share.
 result<std::optional<recovered_share>> recover_share(store::port const& port,
                                                      death_proof const& proof,
                                                      budget_id const& budget,
@@ -123,16 +124,17 @@
     auto const budget_at = budget_key(budget);
     auto const share_at = share_key(budget, proof.incarnation);
     store::commit_result outcome;
-    std::optional<recovered_share> tried;
-    for (int attempt = 0; attempt < most_attempts; ++attempt)
+    std::optional<recovered_share> possibly_recovered;
+    for (int attempt = 0; attempt < max_attempts; ++attempt)
     {
         BOOST_LEAF_AUTO(rows, port.read({budget_at, share_at}));
         auto const share_found = find_row(rows, share_at);
         if (share_found.version == 0)
         {
-            // Gone after a lost answer of ours: we did it, as far as anybody
-            // can tell, and the report may name it twice but never not at all.
-            return tried;
+            // If the row is gone after a lost response, report it as recovered
+            // by this call: the reports may name a share twice, but never omit
+            // it.
+            return possibly_recovered;
         }
         auto const budget_found = find_row(rows, budget_at);
         BOOST_LEAF_AUTO(budget_now, decode_budget(budget_found.value));
@@ -144,16 +146,16 @@
         {
             return std::optional{plan.share};
         }
-        if (is_turned_away(outcome))
+        if (rejected_without_conflict(outcome))
         {
             break;
         }
         if (outcome.outcome == commit_outcome::unknown)
         {
-            tried = plan.share;
+            possibly_recovered = plan.share;
         }
     }
-    return fail(gave_up("recover share", outcome));
+    return fail(fault_at_step("recover share", outcome));
 }
 
 } // namespace
@@ -162,7 +164,8 @@
                                              death_proof const& proof)
 {
     auto const& incarnation = proof.incarnation;
-    BOOST_LEAF_AUTO(fenced, move_holder(port, incarnation, holder_state::active,
+    BOOST_LEAF_AUTO(fenced,
+                    change_holder_state(port, incarnation, holder_state::active,
                                         holder_state::fenced));
     BOOST_LEAF_AUTO(holder, decode_holder(fenced.value));
     std::vector<recovered_share> report;
@@ -170,8 +173,8 @@
     {
         return report;
     }
-    BOOST_LEAF_CHECK(settle_answered(port, incarnation));
-    // Read after the fence: no batch of the old holder can be added any more.
+    BOOST_LEAF_CHECK(settle_kept_bills(port, incarnation));
+    // Read after fencing, so no batch of the dead holder can be added any more.
     BOOST_LEAF_AUTO(spent, read_spent(port, incarnation));
     BOOST_LEAF_AUTO(budgets, budgets_with_share(port, incarnation));
     for (auto const& budget : budgets)
@@ -184,8 +187,8 @@
             report.push_back(*share);
         }
     }
-    BOOST_LEAF_CHECK(move_holder(port, incarnation, holder_state::fenced,
-                                 holder_state::closed));
+    BOOST_LEAF_CHECK(change_holder_state(
+        port, incarnation, holder_state::fenced, holder_state::closed));
     return report;
 }
 
@@ -195,10 +198,10 @@
     if (!budgets.empty())
     {
         return fail({error_kind::conflict, "close holder", "table",
-                     "a share of " + budgets.front().value + " is left"});
+                     "a share of " + budgets.front().value + " remains"});
     }
-    BOOST_LEAF_CHECK(move_holder(port, holder.incarnation, holder_state::active,
-                                 holder_state::closed));
+    BOOST_LEAF_CHECK(change_holder_state(
+        port, holder.incarnation, holder_state::active, holder_state::closed));
     return {};
 }
 
@@ -209,8 +212,8 @@
     auto const held_at = held_key(budget, holder);
     auto const budget_at = budget_key(budget);
     store::commit_result outcome;
-    token_count tried = 0;
-    for (int attempt = 0; attempt < most_attempts; ++attempt)
+    token_count possibly_released = 0;
+    for (int attempt = 0; attempt < max_attempts; ++attempt)
     {
         BOOST_LEAF_AUTO(rows, port.read({held_at, budget_at}));
         auto const held_found = find_row(rows, held_at);
@@ -223,7 +226,7 @@
         BOOST_LEAF_AUTO(held, decode_held(held_found.value));
         if (held.released)
         {
-            return tried;
+            return possibly_released;
         }
         BOOST_LEAF_AUTO(row, decode_budget(budget_found.value));
         row.granted -= held.tokens;
@@ -236,14 +239,15 @@
         {
             return held.tokens;
         }
-        if (is_turned_away(outcome))
+        if (rejected_without_conflict(outcome))
         {
             break;
         }
-        tried =
-            outcome.outcome == commit_outcome::unknown ? held.tokens : tried;
+        possibly_released = outcome.outcome == commit_outcome::unknown
+                                ? held.tokens
+                                : possibly_released;
     }
-    return fail(gave_up("release held", outcome));
+    return fail(fault_at_step("release held", outcome));
 }
 
 } // namespace caperpath::budget
--- a/src/budget/row_access.cpp
+++ b/src/budget/row_access.cpp
@@ -36,7 +36,7 @@
     }
 }
 
-bool is_turned_away(store::commit_result const& outcome)
+bool rejected_without_conflict(store::commit_result const& outcome)
 {
     return outcome.outcome == store::commit_outcome::refused &&
            outcome.failed.empty();
--- a/src/budget/row_access.hpp
+++ b/src/budget/row_access.hpp
@@ -10,22 +10,21 @@
 namespace caperpath::budget
 {
 
-/// How often a step is repeated after a conflict or a lost answer before the
-/// caller is told. Each repeat reads the rows again.
-constexpr int most_attempts = 16;
+/// How often a step is tried after conflicts and lost responses before it
+/// fails. Each retry reads the rows again.
+constexpr int max_attempts = 16;
 
-/// The row of `key` among `rows`, with version 0 when it is not there. Thread
-/// safe.
+/// The row of `key` among `rows`, with version 0 if it is missing. Thread safe.
 store::row find_row(std::vector<store::row> const& rows,
                     std::string const& key);
 
-/// Every row whose key starts with `prefix`, page by page. Thread safe; blocks.
+/// All rows whose keys start with `prefix`, read in pages. Thread safe; blocks.
 result<std::vector<store::row>> scan_all(store::port const& port,
                                          std::string const& prefix);
 
-/// True when repeating at once is of no use: the store turned the call away.
-/// Thread safe.
-bool is_turned_away(store::commit_result const& outcome);
+/// True if the store rejected the call without a failed condition, so that an
+/// immediate retry is useless. Thread safe.
+bool rejected_without_conflict(store::commit_result const& outcome);
 
 } // namespace caperpath::budget
 
--- a/src/budget/rows.cpp
+++ b/src/budget/rows.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-constexpr int seq_digits = 12; ///< keeps ledger rows in the order of writing
+constexpr int seq_digits = 12; ///< sorts ledger rows in the order of writing
 
 constexpr std::pair<holder_state, char const*> state_names[] = {
     {holder_state::active, "active"},
@@ -46,7 +46,7 @@
     throw json::other_error::create(0, "unknown holder state " + text, nullptr);
 }
 
-/// A negative amount in a row would let a holder spend what nobody paid for.
+/// Rejects negative amounts, which would let a holder spend unpaid tokens.
 token_count tokens(json const& object, char const* key)
 {
     auto const number = object.at(key).get<token_count>();
--- a/src/budget/settlement.cpp
+++ b/src/budget/settlement.cpp
@@ -12,7 +12,7 @@
 
 using store::commit_outcome;
 
-spent_row after(settlement_state const& state)
+spent_row spent_after_batch(settlement_state const& state)
 {
     auto row = state.spent;
     row.seq += 1;
@@ -24,12 +24,12 @@
 }
 
 /// The number of the batch is in the key of its ledger row and in the spent
-/// row. A repeat after a lost answer finds the ledger row there, or the spent
-/// row moved on, and changes nothing.
+/// row. A retry after a lost response finds the ledger row present,
+/// or the spent row changed, and has no effect.
 store::transaction batch_transaction(settlement_state const& state,
                                      holder_view const& holder)
 {
-    auto const next = after(state);
+    auto const next = spent_after_batch(state);
     auto const ledger = ledger_key(holder.incarnation, next.seq);
     auto const spent = spent_key(holder.incarnation);
     store::transaction txn{
@@ -79,14 +79,14 @@
 
 settled_step confirm(settlement_state state)
 {
-    state.spent = after(state);
+    state.spent = spent_after_batch(state);
     state.spent_version += 1;
     state.failures = 0;
     auto durable = std::exchange(state.batch, {});
     return {std::move(state), std::move(durable)};
 }
 
-/// True when the refusal shows that the batch took effect earlier: its ledger
+/// True if the rejection shows that the batch took effect earlier: its ledger
 /// row exists. Only this holder writes under its own incarnation.
 bool took_effect(settlement_state const& state, holder_view const& holder,
                  store::commit_result const& outcome)
@@ -151,8 +151,8 @@
     {
         return confirm(std::move(state));
     }
-    // The holder row has changed: a recovery has begun, and what it found in
-    // the spent row is final.
+    // The holder row has changed: a recovery has begun and has the final state
+    // of the spent row.
     state.fenced = true;
     return {std::move(state), {}};
 }
--- a/src/budget/share.cpp
+++ b/src/budget/share.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr duration ask_again{1'000};
-/// While other routers give tokens back the row changes more often than this.
-constexpr duration unchanged_for{5'000};
+constexpr duration retry_delay{1'000};
+/// While other routers return tokens, the row changes more often than this.
+constexpr duration min_unchanged_time{5'000};
 
 bool is_known(share_state const& state, request_id const& request)
 {
@@ -33,9 +33,10 @@
     state.rate = metered(state.rate, is_transfer ? 0 : amount, now);
 }
 
-/// Under overspend_first a bill must be durable before its answer ends. Work
-/// admitted while the store is away could not be billed in time.
-bool store_is_missing(share_state const& state, instant now)
+/// Under overspend_first a bill must be durable before its response ends.
+/// Requests admitted while the store is unreachable could not be billed in
+/// time.
+bool store_is_unreachable(share_state const& state, instant now)
 {
     return state.policy == config::budget_policy::overspend_first &&
            state.down_since &&
@@ -49,34 +50,36 @@
     return within_limit && amount <= reservable(state);
 }
 
-/// The row was seen after the reservation came, so a top-up before it counts.
-bool seen_since(share_state const& state, instant at)
+/// True if the row was read at or after `at`, so that it shows any top-up
+/// before `at`.
+bool row_read_since(share_state const& state, instant at)
 {
     return state.seen && state.seen->at >= at;
 }
 
-/// True when even with every other holder's whole share the budget does not
-/// cover `amount`.
-bool beyond_everything(share_state const& state, token_count amount)
+/// True if the budget does not cover `amount` even with the whole share of
+/// every other holder.
+bool exceeds_whole_budget(share_state const& state, token_count amount)
 {
     auto const& row = state.seen->row;
-    // What former holders gave away before they retired is not spent yet.
+    // Tokens that former holders sent to other routers before they retired may
+    // still be unspent.
     auto const retired = state.has_peers ? 0 : row.retired;
     return amount > row.paid - retired - (used_tokens(state) - state.given);
 }
 
-bool waited_in_vain(share_state const& state, token_count amount)
+bool wait_is_futile(share_state const& state, token_count amount)
 {
     return state.fruitless && amount >= state.fruitless->amount &&
            state.seen->version == state.fruitless->budget_version &&
-           state.seen->at - state.fruitless->since >= unchanged_for;
+           state.seen->at - state.fruitless->since >= min_unchanged_time;
 }
 
-/// A wait for as much ended with nothing a moment ago. Were each request at the
-/// end of a budget to wait and look for itself, a large fleet would spend most
-/// of its calls to the store on refusals.
-bool just_waited_in_vain(share_state const& state, token_count amount,
-                         instant now)
+/// True if a wait for no more than `amount` ended without success recently. If
+/// each request at the end of a budget waited and read the row itself, a large
+/// fleet would spend most of its store calls on rejections.
+bool wait_failed_recently(share_state const& state, token_count amount,
+                          instant now)
 {
     return state.fruitless && amount >= state.fruitless->amount &&
            now - state.fruitless->last <
@@ -86,16 +89,17 @@
 reserve_reply undecidable(share_state const& state, instant now)
 {
     return {reserve_verdict::undecidable,
-            std::max(ask_again, state.retry_at - now)};
+            std::max(retry_delay, state.retry_at - now)};
 }
 
-/// True when what all routers told that they spent leaves less than `amount`:
-/// no share that comes back will cover it.
-bool spent_by_all(share_state const& state, token_count amount, instant now)
+/// True if the spending reported by all routers leaves less than `amount`: no
+/// returned share will cover it.
+bool exceeds_reported_remainder(share_state const& state, token_count amount,
+                                instant now)
 {
-    // Cut off from the store, this router may not know of a top-up.
+    // Without a connection to the store, this router may not know of a top-up.
     return state.dealt && !state.has_peers &&
-           seen_since(state, now - state.sizes.fresh) &&
+           row_read_since(state, now - state.sizes.fresh) &&
            amount > state.seen->row.paid - state.seen->row.retired -
                         state.dealt->spent_by_all;
 }
@@ -103,23 +107,24 @@
 reserve_reply exhausted(share_state const& state, token_count amount,
                         instant now)
 {
-    if (spent_by_all(state, amount, now))
+    if (exceeds_reported_remainder(state, amount, now))
     {
         return {reserve_verdict::exhausted, duration{0}};
     }
-    // Tokens in the shares of others may come back; a used up budget won't.
+    // Tokens in the shares of other holders may be returned; spent ones are
+    // not.
     auto const elsewhere =
         state.seen->row.granted - state.seen->row.retired - state.share.granted;
-    auto const may_come =
-        state.has_peers ? !beyond_everything(state, amount) : elsewhere > 0;
-    return {reserve_verdict::exhausted, may_come ? ask_again : duration{0}};
+    auto const may_return =
+        state.has_peers ? !exceeds_whole_budget(state, amount) : elsewhere > 0;
+    return {reserve_verdict::exhausted, may_return ? retry_delay : duration{0}};
 }
 
-void note_fruitless(share_state& state, token_count amount, instant now)
+void record_unmet_wait(share_state& state, token_count amount, instant now)
 {
     if (state.has_peers)
     {
-        return; // whoever gives tells when there are none
+        return; // the routers that give tokens report when they have none
     }
     auto const version = state.seen->version;
     if (!state.fruitless || state.fruitless->budget_version != version)
@@ -131,16 +136,19 @@
     state.fruitless->last = now;
 }
 
-/// The reply to a reservation that does not fit now, if it is time for one.
-std::optional<reserve_reply> refuse(share_state& state,
-                                    waiting_reservation const& one, instant now)
+/// The rejection of a reservation that does not fit now; empty if it may still
+/// wait.
+std::optional<reserve_reply> rejection_if_due(share_state& state,
+                                              waiting_reservation const& one,
+                                              instant now)
 {
     if (state.fenced || state.closing)
     {
         return undecidable(state, now);
     }
-    if (seen_since(state, one.since) && (beyond_everything(state, one.amount) ||
-                                         waited_in_vain(state, one.amount)))
+    if (row_read_since(state, one.since) &&
+        (exceeds_whole_budget(state, one.amount) ||
+         wait_is_futile(state, one.amount)))
     {
         return exhausted(state, one.amount, now);
     }
@@ -149,7 +157,7 @@
         return std::nullopt;
     }
     auto const reachable =
-        seen_since(state, one.since) && !state.floor && !state.down_since;
+        row_read_since(state, one.since) && !state.floor && !state.down_since;
     auto const covered =
         reachable &&
         one.amount <= free_tokens(state) + ungranted(state.seen->row);
@@ -157,7 +165,7 @@
     {
         return undecidable(state, now);
     }
-    note_fruitless(state, one.amount, now);
+    record_unmet_wait(state, one.amount, now);
     return exhausted(state, one.amount, now);
 }
 
@@ -224,7 +232,8 @@
     {
         return free;
     }
-    // With so many bills unsettled the answer to new work could not end.
+    // With this many unsettled bills the response to a new request could not
+    // end.
     auto const open =
         state.unsettled > 0 && state.unsettled >= usable(state).exposed;
     return open ? 0 : free;
@@ -239,7 +248,7 @@
         state.sizes = sizing_for(request.policy);
     }
     auto const blocked =
-        state.fenced || state.closing || store_is_missing(state, now);
+        state.fenced || state.closing || store_is_unreachable(state, now);
     if (request.amount < 0 || blocked || is_known(state, request.request))
     {
         auto const reply = undecidable(state, now);
@@ -255,16 +264,16 @@
         return {std::move(state),
                 reserve_reply{reserve_verdict::admitted, duration{0}}};
     }
-    if (spent_by_all(state, request.amount, now) ||
-        (state.seen && just_waited_in_vain(state, request.amount, now)))
+    if (exceeds_reported_remainder(state, request.amount, now) ||
+        (state.seen && wait_failed_recently(state, request.amount, now)))
     {
         auto const reply = exhausted(state, request.amount, now);
         return {std::move(state), reply};
     }
-    // A row seen just now decides as well as one that would be read again.
-    if (seen_since(state, now - state.sizes.near_end_look) &&
-        (beyond_everything(state, request.amount) ||
-         waited_in_vain(state, request.amount)))
+    // A recently read row decides as reliably as another read would.
+    if (row_read_since(state, now - state.sizes.near_end_look) &&
+        (exceeds_whole_budget(state, request.amount) ||
+         wait_is_futile(state, request.amount)))
     {
         auto const reply = exhausted(state, request.amount, now);
         return {std::move(state), reply};
@@ -284,17 +293,17 @@
     }
     auto const reserved = found->second;
     auto cost = request.cost;
-    // A cost above the reservation was never set aside: billing it would spend
-    // tokens that another holder may have.
+    // Tokens beyond the reservation were not set aside. Billing them would
+    // spend tokens that another holder may have.
     cost.tokens = std::clamp<token_count>(cost.tokens, 0, reserved);
     state.open.erase(found);
     state.reserved -= reserved;
     state.unsettled += cost.tokens;
     state.rate = metered(state.rate, cost.tokens - reserved, now);
-    // An answer may end before its bill is durable. If this router died then,
-    // the recovery would give the tokens out again and the customer would use
-    // them twice. It holds back `exposed`, so no more may be unsettled than
-    // that.
+    // A response may end before its bill is durable. If this router died then,
+    // the recovery would return the tokens to the budget and the customer would
+    // use them twice. The recovery holds back `exposed`, so at most that much
+    // may be unsettled.
     auto const may_end =
         request.policy == config::budget_policy::false_refusals_first &&
         state.unsettled <= usable(state).exposed;
@@ -334,10 +343,10 @@
             answers.push_back({one.request, {reserve_verdict::admitted, {}}});
             continue;
         }
-        auto const reply = refuse(state, one, now);
+        auto const reply = rejection_if_due(state, one, now);
         if (reply)
         {
-            // A router that refuses for want of tokens needs more of them.
+            // A router that rejects requests for lack of tokens needs more.
             state.rate =
                 state.dealt ? metered(state.rate, one.amount, now) : state.rate;
             answers.push_back({one.request, *reply});
--- a/src/budget/share_holdings.cpp
+++ b/src/budget/share_holdings.cpp
@@ -11,11 +11,11 @@
 
 constexpr std::int64_t ms_per_second = 1'000;
 constexpr int surplus_factor =
-    4; ///< idle beyond this many fair parts goes back
+    4; ///< more than this many fair parts idle: return the excess
 
-constexpr token_count spare_part_of_return = 2;
+constexpr token_count return_spare_divisor = 2;
 
-/// What a holder keeps beyond the need of its traffic.
+/// What a holder keeps in addition to the need of its traffic.
 token_count spare_tokens(share_state const& state)
 {
     auto const& sizes = state.sizes;
@@ -36,7 +36,7 @@
     return wanted > 0 && wanted != state.wanting;
 }
 
-/// What goes back for another holder that wants tokens.
+/// Tokens to return for another holder that wants some.
 token_count wanted_return(share_state const& state, token_count free)
 {
     auto const& sizes = state.sizes;
@@ -51,9 +51,9 @@
     return back >= least ? back : 0;
 }
 
-/// Held for reservations that wait and fit, and that only the spend line holds
-/// back. Returned, they would be drawn again at once, and two routers would
-/// pass the same tokens to and fro.
+/// Tokens for waiting reservations that fit and that only the spend limit holds
+/// back. If returned, they would be drawn again at once, and two routers would
+/// keep exchanging the same tokens.
 token_count covered_tokens(share_state const& state)
 {
     auto const free = free_tokens(state);
@@ -65,17 +65,18 @@
     return covered;
 }
 
-/// The same with a deal: one holder returns what is wanted, and a little more
-/// for whoever comes next.
-token_count dealt_return(share_state const& state, token_count free)
+/// Tokens to return for another holder if there is an allocation: one holder
+/// returns what is wanted, and some more for the next request.
+token_count allocated_return(share_state const& state, token_count free)
 {
     auto const wanted = state.seen->row.wanted - ungranted(state.seen->row);
-    auto const with_spare = wanted + wanted / spare_part_of_return;
+    auto const with_spare = wanted + wanted / return_spare_divisor;
     return state.must_return ? std::clamp<token_count>(with_spare, 0, free) : 0;
 }
 
-/// A draw of less than this is not worth its write: what is missing when the
-/// share has come down to its lowest level.
+/// The smallest draw that is worth its write: what is missing when the free
+/// tokens have fallen to `highest_level`, the highest level that triggers a
+/// draw.
 token_count least_refill(share_state const& state, token_count free)
 {
     auto const missing =
@@ -85,9 +86,9 @@
 
 } // namespace
 
-/// Rows of budgets in use would otherwise change without end: each move alters
-/// what all others reckon with.
-bool may_deal(share_state const& state, instant now)
+/// Without a pause the rows of active budgets would change endlessly, since
+/// each move alters the figures that all other routers compute with.
+bool may_reallocate(share_state const& state, instant now)
 {
     auto const holders = state.seen ? state.seen->row.holders : 0;
     auto const pause =
@@ -134,7 +135,7 @@
 
 token_count surplus(share_state const& state, instant now)
 {
-    // Only what was drawn goes back to the budget row.
+    // Only drawn tokens are returned to the budget row, not received ones.
     auto const free = std::min(free_tokens(state), state.share.granted);
     if (state.closing)
     {
@@ -143,7 +144,7 @@
     if (wanted_by_another(state))
     {
         auto const spare = free - covered_tokens(state);
-        return state.dealt ? dealt_return(state, spare)
+        return state.dealt ? allocated_return(state, spare)
                            : wanted_return(state, spare);
     }
     if (state.dealt)
@@ -151,7 +152,7 @@
         auto const target = static_cast<double>(state.dealt->target);
         auto const gives =
             state.dealt->others_lack > 0 && state.must_return &&
-            may_deal(state, now) && state.waiting.empty() &&
+            may_reallocate(state, now) && state.waiting.empty() &&
             static_cast<double>(free) > state.sizes.deal_high * target;
         return gives ? free - state.dealt->target : 0;
     }
@@ -171,14 +172,14 @@
 token_count refill(share_state const& state, instant now)
 {
     auto const free = free_tokens(state);
-    if (state.dealt && !may_deal(state, now))
+    if (state.dealt && !may_reallocate(state, now))
     {
         return 0;
     }
     auto const amount = draw_size(state.seen->row, 0, free, tokens_ahead(state),
                                   most_ahead(state));
-    // Near the end each draw ahead gets smaller; below one request it only
-    // scatters what is left.
+    // Near the end each draw ahead gets smaller. Draws below the need of the
+    // requests ahead only scatter the remaining tokens.
     auto const least = std::max({token_count{1},
                                  state.sizes.requests_ahead * state.last_amount,
                                  least_refill(state, free)});
--- a/src/budget/share_results.cpp
+++ b/src/budget/share_results.cpp
@@ -12,19 +12,20 @@
 
 using store::commit_outcome;
 
-/// A row that cannot be read decides nothing: the state stays as it was.
+/// The decoded row, or empty if it cannot be decoded; the state then stays as
+/// it was.
 template <class Row>
-std::optional<Row> row_of(store::row const& found,
-                          result<Row> (*decode)(std::string const&))
+std::optional<Row> decode_row(store::row const& found,
+                              result<Row> (*decode)(std::string const&))
 {
     auto both = value_or_error([&] { return decode(found.value); });
     auto* const row = std::get_if<Row>(&both);
     return row != nullptr ? std::optional<Row>{*row} : std::nullopt;
 }
 
-/// What was granted since the row was last seen went to other holders: own
-/// draws were noted when they were written.
-void note_others(share_state& state, budget_row const& row, instant now)
+/// Counts what was granted since the last read as draws of other holders. Own
+/// draws were recorded when they were written.
+void record_other_draws(share_state& state, budget_row const& row, instant now)
 {
     if (state.seen && state.seen->version > 0)
     {
@@ -33,33 +34,34 @@
     }
 }
 
-void see_budget(share_state& state, budget_row const& row,
-                std::uint64_t version, instant now)
+void record_budget(share_state& state, budget_row const& row,
+                   std::uint64_t version, instant now)
 {
-    auto const same_wish = state.seen && state.seen->row.wanted == row.wanted;
-    auto const since = same_wish ? state.seen->wish_since : now;
+    auto const same_wanted = state.seen && state.seen->row.wanted == row.wanted;
+    auto const since = same_wanted ? state.seen->wish_since : now;
     state.seen = seen_budget{row, version, now, since};
 }
 
-void take_budget(share_state& state, store::row const& found, instant now)
+void apply_budget_row(share_state& state, store::row const& found, instant now)
 {
     if (found.version == 0)
     {
         state.seen = seen_budget{{}, 0, now};
         return;
     }
-    auto const row = row_of(found, &decode_budget);
+    auto const row = decode_row(found, &decode_budget);
     if (row)
     {
-        note_others(state, *row, now);
-        see_budget(state, *row, found.version, now);
+        record_other_draws(state, *row, now);
+        record_budget(state, *row, found.version, now);
     }
 }
 
-/// The share row has one writer, this router, so a newer version than ours is a
-/// write of ours whose answer was lost, and it is the last one: each names the
-/// version before it. A row that is gone was recovered by somebody else.
-void take_share(share_state& state, store::row const& found)
+/// This router is the only writer of the share row, so a newer version than the
+/// known one is its own write whose response was lost. It is the latest write,
+/// since each is conditional on the version before it. A missing row was
+/// recovered by another router.
+void apply_share_row(share_state& state, store::row const& found)
 {
     if (found.version == 0 && state.share_version > 0)
     {
@@ -73,7 +75,7 @@
     {
         return;
     }
-    auto const row = row_of(found, &decode_share);
+    auto const row = decode_row(found, &decode_share);
     if (row)
     {
         state.share = *row;
@@ -82,8 +84,8 @@
     }
 }
 
-void take_rows(share_state& state, holder_view const& holder,
-               std::vector<store::row> const& rows, instant now)
+void apply_rows(share_state& state, holder_view const& holder,
+                std::vector<store::row> const& rows, instant now)
 {
     auto const budget = budget_key(state.budget);
     auto const share = share_key(state.budget, holder.incarnation);
@@ -92,11 +94,11 @@
     {
         if (found.key == budget)
         {
-            take_budget(state, found, now);
+            apply_budget_row(state, found, now);
         }
         if (found.key == share)
         {
-            take_share(state, found);
+            apply_share_row(state, found);
         }
         if (found.key == own && found.version != holder.version)
         {
@@ -105,8 +107,8 @@
     }
 }
 
-std::size_t salt_of(share_state const& state, holder_view const& holder,
-                    instant now)
+std::size_t jitter_salt(share_state const& state, holder_view const& holder,
+                        instant now)
 {
     return std::hash<budget_id>{}(state.budget) +
            std::hash<incarnation_id>{}(holder.incarnation) +
@@ -128,14 +130,14 @@
     state.down_since.reset();
 }
 
-void take_effect(share_state& state, planned_write const& planned,
+void apply_write(share_state& state, planned_write const& planned,
                  store::commit_result const& applied, instant now)
 {
     if (planned.budget)
     {
         auto const version =
             store::written_version(applied, state.seen->version);
-        see_budget(state, *planned.budget, version, now);
+        record_budget(state, *planned.budget, version, now);
         state.wanting =
             planned.budget->wanted == state.wanting ? state.wanting : 0;
     }
@@ -144,14 +146,14 @@
         state.share = *planned.share;
         state.share_version =
             store::written_version(applied, state.share_version);
-        // Every earlier write named the version that is gone now: none of them
-        // can take effect any more.
+        // Every earlier write was conditional on a version that no longer
+        // exists, so none of them can take effect any more.
         state.floor.reset();
     }
     if (planned.retires)
     {
-        // The budget row counts what did not go back as spent by a former
-        // holder; what of it is free, if any, came from other routers.
+        // The budget row counts tokens that were not returned as spent by a
+        // former holder. Any of them that are free came from other routers.
         auto const free = free_tokens(state);
         auto const back = std::min(free, state.share.granted);
         state.share = {};
@@ -162,11 +164,11 @@
     }
 }
 
-/// The answer was lost, or the write may still be on its way: it can take
-/// effect later than any read shows. Until a write of the same share row
-/// version is applied, or is refused because the row moved, the lower of the
-/// two values counts; otherwise a return that lands late would leave tokens
-/// spent here that another router has drawn.
+/// The response was lost, so the write may take effect after any read. The
+/// lower of the two values counts until a write on the same share row version
+/// is applied, or is rejected because the row has changed. Otherwise a return
+/// that takes effect late would leave tokens spent here that another router has
+/// drawn.
 void lower_floor(share_state& state, planned_write const& planned)
 {
     state.look_first = true;
@@ -209,7 +211,7 @@
                                         { return one.key == key; });
         all.push_back(found == rows.end() ? absent(key) : *found);
     }
-    take_rows(state, holder, all, now);
+    apply_rows(state, holder, all, now);
     return state;
 }
 
@@ -218,7 +220,7 @@
     auto const is_newer = !state.seen || budget.version > state.seen->version;
     if (is_newer && budget.key == budget_key(state.budget))
     {
-        take_budget(state, budget, now);
+        apply_budget_row(state, budget, now);
     }
     return state;
 }
@@ -263,7 +265,7 @@
     {
     case commit_outcome::applied:
         store_reached(state);
-        take_effect(state, *planned, outcome, now);
+        apply_write(state, *planned, outcome, now);
         state.conflicts = 0;
         return state;
     case commit_outcome::refused:
@@ -273,11 +275,11 @@
             return state;
         }
         store_reached(state);
-        take_rows(state, holder, outcome.failed, now);
+        apply_rows(state, holder, outcome.failed, now);
         state.conflicts += 1;
         state.retry_at =
             now + conflict_pause(state.conflicts, !state.waiting.empty(),
-                                 salt_of(state, holder, now));
+                                 jitter_salt(state, holder, now));
         return state;
     case commit_outcome::unknown:
         store_failed(state, now);
--- a/src/budget/share_rules.hpp
+++ b/src/budget/share_rules.hpp
@@ -6,33 +6,33 @@
 namespace caperpath::budget
 {
 
-/// The share row as far as it can be relied upon: while a write that lowers it
-/// is under way or its answer was lost, the lower values count. Thread safe.
+/// The part of the share row that is certain: while a write that lowers it is
+/// in progress or its response was lost, the lower values count. Thread safe.
 share_row usable(share_state const& state);
 
 /// The largest reservation that may be admitted now. Thread safe.
 token_count reservable(share_state const& state);
 
-/// True before this router's first write of a share row. Thread safe.
+/// True if this router has not written a share row yet. Thread safe.
 bool is_newcomer(share_state const& state);
 
-/// What the traffic of the horizon needs, and what a holder keeps beyond it.
-/// Thread safe.
+/// Tokens to hold free: the need of the horizon's traffic, at least the spare
+/// tokens, or the allocated target if there is one. Thread safe.
 token_count tokens_ahead(share_state const& state);
 
-/// The most to hold ahead of need. @pre `state.seen`. Thread safe.
+/// The maximum to hold ahead of need. @pre `state.seen`. Thread safe.
 token_count most_ahead(share_state const& state);
 
-/// Idle tokens that another router has more use for. @pre `state.seen`. Thread
-/// safe.
+/// Idle tokens to return for other routers. @pre `state.seen`. Thread safe.
 token_count surplus(share_state const& state, instant now);
 
-/// Tokens worth a draw of their own, without anybody waiting; 0 if none. @pre
-/// `state.seen`. Thread safe.
+/// Tokens to draw while no reservation waits; 0 if a draw is not worth its
+/// write. @pre `state.seen`. Thread safe.
 token_count refill(share_state const& state, instant now);
 
-/// True when tokens may be moved without anybody waiting for them. Thread safe.
-bool may_deal(share_state const& state, instant now);
+/// True if tokens may be moved while no reservation waits for them. Thread
+/// safe.
+bool may_reallocate(share_state const& state, instant now);
 
 } // namespace caperpath::budget
 
--- a/src/budget/share_steps.cpp
+++ b/src/budget/share_steps.cpp
@@ -11,13 +11,13 @@
 {
 
 constexpr std::int64_t ms_per_second = 1'000;
-constexpr token_count fewest_exposed = 4; ///< requests
+constexpr token_count min_exposed_requests = 4;
 
-/// What the waiting reservations lack.
+/// Tokens that the waiting reservations lack.
 struct demand
 {
-    token_count need{};  ///< a draw of this much serves those that fit
-    token_count unmet{}; ///< what the largest of the others lacks
+    token_count need{};  ///< a draw of this much admits those that fit
+    token_count unmet{}; ///< missing for the largest of the others
 };
 
 demand demand_of(share_state const& state)
@@ -55,7 +55,8 @@
            static_cast<double>(free_tokens(state)) < ahead * level;
 }
 
-/// What a recovery would have to hold back: bills of some seconds of traffic.
+/// Tokens that a recovery has to hold back: the bills of the traffic of
+/// `sizes.exposure`.
 token_count exposure(share_state const& state, token_count granted)
 {
     if (state.sizes.exposure == duration{0})
@@ -65,7 +66,7 @@
     auto const traffic = state.rate.per_second *
                          static_cast<double>(state.sizes.exposure.ms) /
                          ms_per_second;
-    auto const least = fewest_exposed * state.last_amount;
+    auto const least = min_exposed_requests * state.last_amount;
     return std::clamp<token_count>(static_cast<token_count>(traffic),
                                    std::min(least, granted), granted);
 }
@@ -80,7 +81,7 @@
     return {holder_key(holder.incarnation), holder.version};
 }
 
-/// A write of the planned rows, on condition that none of them has changed.
+/// A write of the planned rows, conditional on none of them having changed.
 table_step write_step(share_state state, holder_view const& holder,
                       planned_write planned)
 {
@@ -105,7 +106,7 @@
     return {std::move(state), step_kind::write, std::move(txn)};
 }
 
-table_step look_step(share_state state)
+table_step read_step(share_state state)
 {
     state.busy = true;
     return {std::move(state), step_kind::look, {}};
@@ -116,7 +117,7 @@
     return {std::move(state), step_kind::none, {}};
 }
 
-/// Moves `tokens` (negative: back) from the budget row to the share row.
+/// Moves `tokens` from the budget row to the share row, or back if negative.
 table_step move_step(share_state state, holder_view const& holder,
                      token_count tokens, token_count unmet)
 {
@@ -134,8 +135,8 @@
     return write_step(std::move(state), holder, {share, budget, false});
 }
 
-table_step want_step(share_state state, holder_view const& holder,
-                     token_count unmet)
+table_step publish_wanted_step(share_state state, holder_view const& holder,
+                               token_count unmet)
 {
     auto budget = state.seen->row;
     budget.wanted = unmet;
@@ -143,11 +144,12 @@
     return write_step(std::move(state), holder, {std::nullopt, budget, false});
 }
 
-/// Writes the share row for its own sake: it settles a floor, or raises what is
-/// held back if this router dies.
-table_step touch_step(share_state state, holder_view const& holder)
+/// Rewrites the share row without moving tokens: this resolves a floor, or
+/// raises the amount that is held back if this router dies.
+table_step rewrite_share_step(share_state state, holder_view const& holder)
 {
-    // A first draw whose answer was lost left no row yet: it is counted here.
+    // A first draw whose response was lost may not have created the row. Moving
+    // 0 tokens creates it and counts this holder.
     if (is_newcomer(state))
     {
         return move_step(std::move(state), holder, 0, 0);
@@ -173,9 +175,9 @@
            state.reserved == 0 && state.unsettled == 0;
 }
 
-duration look_pause(share_state const& state)
+duration read_pause(share_state const& state)
 {
-    // A router that stops has little time to give its share back.
+    // A stopping router has little time to return its share.
     if (!state.waiting.empty() || state.closing)
     {
         return state.sizes.waiting_look;
@@ -188,9 +190,10 @@
                : std::max(sizes.look_interval, sizes.look_per_holder * holders);
 }
 
-/// A row is worth a look when tokens lie idle here (others may want them), when
-/// somebody waits, or when a policy change or a lost answer must be written.
-bool is_interested(share_state const& state)
+/// True if the rows are worth reading: tokens are idle here and other routers
+/// may want them, a reservation waits, a response was lost, or the share is
+/// closing.
+bool rows_matter(share_state const& state)
 {
     return free_tokens(state) > 0 || !state.waiting.empty() || state.floor ||
            state.look_first || (state.closing && state.share_version > 0);
@@ -201,34 +204,34 @@
     return state.seen && now - state.seen->at <= state.sizes.fresh;
 }
 
-/// True when a draw would be tried if the row were fresh.
-bool may_draw(share_state const& state, holder_view const& holder)
+/// True if a draw would be tried with a fresh row.
+bool would_draw(share_state const& state, holder_view const& holder)
 {
-    auto const promising = !state.seen || ungranted(state.seen->row) > 0;
-    return promising && !state.closing &&
+    auto const may_have_tokens = !state.seen || ungranted(state.seen->row) > 0;
+    return may_have_tokens && !state.closing &&
            (!state.waiting.empty() || is_low(state, holder));
 }
 
-bool look_is_due(share_state const& state, holder_view const& holder,
+bool read_is_due(share_state const& state, holder_view const& holder,
                  instant now)
 {
     if (!state.seen || state.look_first)
     {
-        return is_interested(state) || may_draw(state, holder);
+        return rows_matter(state) || would_draw(state, holder);
     }
     if (is_fresh(state, now))
     {
         return false;
     }
-    if (may_draw(state, holder) &&
+    if (would_draw(state, holder) &&
         (!state.waiting.empty() || refill(state, now) > 0))
     {
         return true;
     }
-    return is_interested(state) && now - state.seen->at >= look_pause(state);
+    return rows_matter(state) && now - state.seen->at >= read_pause(state);
 }
 
-/// With a fresh row: the write that is worth most, if any.
+/// The most useful write, if any. @pre the budget row is fresh.
 table_step choose_write(share_state state, holder_view const& holder,
                         instant now)
 {
@@ -239,38 +242,38 @@
         {
             return retire_step(std::move(state), holder);
         }
-        // Also settles a floor: a write that is applied, or refused for the
-        // share row, proves that the lost one can no longer take effect.
+        // Also resolves a floor: a write that is applied, or rejected because
+        // of the share row, proves that the lost one can no longer take effect.
         return back > 0 || state.floor
                    ? move_step(std::move(state), holder, -back, 0)
                    : no_step(std::move(state));
     }
-    auto const wish = demand_of(state);
-    if (wish.need > 0)
+    auto const lacking = demand_of(state);
+    if (lacking.need > 0)
     {
         auto const amount =
-            draw_size(state.seen->row, wish.need, free_tokens(state),
+            draw_size(state.seen->row, lacking.need, free_tokens(state),
                       tokens_ahead(state), most_ahead(state));
-        return move_step(std::move(state), holder, amount, wish.unmet);
+        return move_step(std::move(state), holder, amount, lacking.unmet);
     }
     if (back > 0)
     {
         state.moved_at = now;
-        return move_step(std::move(state), holder, -back, wish.unmet);
+        return move_step(std::move(state), holder, -back, lacking.unmet);
     }
-    if (!state.has_peers && wish.unmet > state.seen->row.wanted)
+    if (!state.has_peers && lacking.unmet > state.seen->row.wanted)
     {
-        return want_step(std::move(state), holder, wish.unmet);
+        return publish_wanted_step(std::move(state), holder, lacking.unmet);
     }
     auto const is_mine =
         state.wanting > 0 && state.seen->row.wanted == state.wanting;
-    if (is_mine && wish.unmet == 0)
+    if (is_mine && lacking.unmet == 0)
     {
-        return want_step(std::move(state), holder, 0);
+        return publish_wanted_step(std::move(state), holder, 0);
     }
     if (state.floor || exposure_is_low(state))
     {
-        return touch_step(std::move(state), holder);
+        return rewrite_share_step(std::move(state), holder);
     }
     auto const more = is_low(state, holder) ? refill(state, now) : 0;
     if (more == 0)
@@ -294,9 +297,9 @@
         return no_step(std::move(state));
     }
     state.rate = metered(state.rate, 0, now);
-    if (look_is_due(state, holder, now))
+    if (read_is_due(state, holder, now))
     {
-        return look_step(std::move(state));
+        return read_step(std::move(state));
     }
     if (is_fresh(state, now) && !state.look_first)
     {
@@ -310,7 +313,7 @@
     auto due = now + state.sizes.look_interval;
     if (state.seen)
     {
-        due = std::min(due, state.seen->at + look_pause(state));
+        due = std::min(due, state.seen->at + read_pause(state));
     }
     for (auto const& one : state.waiting)
     {
--- a/src/budget/share_transfers.cpp
+++ b/src/budget/share_transfers.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 #include <vector>
 
-/// Tokens that come from and go to other routers.
+/// Tokens received from and sent to other routers.
 namespace caperpath::budget
 {
 
@@ -50,7 +50,7 @@
             left.push_back(one);
             continue;
         }
-        // A router that refuses for want of tokens needs more of them.
+        // A router that rejects requests for lack of tokens needs more.
         state.rate = metered(state.rate, one.amount, now);
         answers.push_back(
             {one.request, {reserve_verdict::exhausted, retry_after}});
--- a/src/budget/spend_journal.cpp
+++ b/src/budget/spend_journal.cpp
@@ -13,56 +13,57 @@
 namespace
 {
 
-constexpr auto most = std::numeric_limits<std::int64_t>::max();
+constexpr auto max_int64 = std::numeric_limits<std::int64_t>::max();
 
 constexpr std::int64_t ms_per_second = 1'000;
-constexpr std::string_view key_begin = "spend/";
+constexpr std::string_view key_prefix = "spend/";
 
-bool is_whole_numbers(nlohmann::json const& text, std::size_t count)
+bool is_integer_array(nlohmann::json const& text, std::size_t count)
 {
     return text.is_array() && text.size() == count &&
            std::all_of(text.begin(), text.end(),
                        [](auto const& one) { return one.is_number_integer(); });
 }
 
-/// Two numbers: the line alone, of a router that moved no tokens. Five: the
-/// same, what it received, whether it has a share row, and what it gave.
-std::optional<spend_line> line_of(nlohmann::json const& text)
+/// The short form has two numbers: spent, per second. The long form, of a
+/// router that moved tokens, adds: received, whether there is a share row,
+/// given.
+std::optional<spend_line> decode_limit(nlohmann::json const& text)
 {
     constexpr std::size_t short_form = 2;
     constexpr std::size_t long_form = 5;
-    auto const is_long = is_whole_numbers(text, long_form);
-    if (!is_long && !is_whole_numbers(text, short_form))
+    auto const is_long_form = is_integer_array(text, long_form);
+    if (!is_long_form && !is_integer_array(text, short_form))
     {
         return std::nullopt;
     }
-    spend_line line{text[0].get<token_count>(), text[1].get<token_count>()};
-    if (is_long)
+    spend_line curve{text[0].get<token_count>(), text[1].get<token_count>()};
+    if (is_long_form)
     {
-        line.received = text[2].get<token_count>();
-        line.has_share = text[3].get<token_count>() != 0;
-        line.given = text[4].get<token_count>();
+        curve.received = text[2].get<token_count>();
+        curve.has_share = text[3].get<token_count>() != 0;
+        curve.given = text[4].get<token_count>();
     }
-    return line;
+    return curve;
 }
 
-nlohmann::json text_of(spend_line const& line)
+nlohmann::json encode_limit(spend_line const& curve)
 {
-    if (line.received == 0 && line.has_share && line.given == 0)
+    if (curve.received == 0 && curve.has_share && curve.given == 0)
     {
-        return {line.spent, line.per_second};
+        return {curve.spent, curve.per_second};
     }
-    return {line.spent, line.per_second, line.received, line.has_share ? 1 : 0,
-            line.given};
+    return {curve.spent, curve.per_second, curve.received,
+            curve.has_share ? 1 : 0, curve.given};
 }
 
-token_count value_at(spend_line const& line, std::int64_t ms_later)
+token_count value_at(spend_line const& curve, std::int64_t ms_later)
 {
     auto const rising = std::max<std::int64_t>(0, ms_later - flat_for.ms);
-    return line.spent + line.per_second * rising / ms_per_second;
+    return curve.spent + curve.per_second * rising / ms_per_second;
 }
 
-/// The store's time is at least this.
+/// A lower bound on the store's time.
 std::int64_t store_time(spend_journal const& journal, instant now)
 {
     return journal.last_acknowledged
@@ -70,14 +71,15 @@
                : 0;
 }
 
-/// What a successor would take over by `row` is not to be spent.
+/// The spend limit by `row`: tokens that a successor would take over by it must
+/// not be spent.
 token_count limit_by(spend_row const& row, budget_id const& budget,
                      held_tokens const& held, std::int64_t store_ms)
 {
     auto const found = row.lines.find(budget);
-    auto const line = found == row.lines.end() ? spend_line{} : found->second;
+    auto const curve = found == row.lines.end() ? spend_line{} : found->second;
     auto const left =
-        held.granted + line.received - value_at(line, store_ms - row.at_ms);
+        held.granted + curve.received - value_at(curve, store_ms - row.at_ms);
     return held.granted + held.received - std::max<token_count>(0, left);
 }
 
@@ -85,15 +87,15 @@
 
 std::string spend_key(std::string const& vm)
 {
-    return std::string{key_begin} + vm;
+    return std::string{key_prefix} + vm;
 }
 
 std::string encode(spend_row const& row)
 {
     auto lines = nlohmann::json::object();
-    for (auto const& [budget, line] : row.lines)
+    for (auto const& [budget, curve] : row.lines)
     {
-        lines[budget.value] = text_of(line);
+        lines[budget.value] = encode_limit(curve);
     }
     return nlohmann::json{{"router", row.router.value},
                           {"address", row.address},
@@ -108,28 +110,28 @@
     if (!value.is_object())
     {
         return fail({error_kind::invalid, "decode spend row", "store",
-                     "the row is no JSON object"});
+                     "the row is not a JSON object"});
     }
     std::vector<config::fault> faults;
     config::json_reader reader{value, "", faults};
     spend_row row;
     row.router = {reader.text("router")};
     row.address = reader.text("address");
-    row.at_ms = reader.whole("at_ms", "milliseconds", 0, most);
+    row.at_ms = reader.whole("at_ms", "milliseconds", 0, max_int64);
     reader.each_member(
         "lines",
         [&row, &faults](std::string const& name, nlohmann::json const& text,
                         std::string const& path)
         {
-            auto const line = line_of(text);
-            if (!line)
+            auto const curve = decode_limit(text);
+            if (!curve)
             {
                 faults.push_back(
                     {path,
                      "expected tokens, tokens/s [, tokens, 0 or 1, tokens]"});
                 return;
             }
-            row.lines[{name}] = *line;
+            row.lines[{name}] = *curve;
         });
     if (!faults.empty())
     {
@@ -198,21 +200,21 @@
 }
 
 std::optional<std::map<budget_id, spend_line>>
-spent_at_most(spend_row const& of, std::string const& own_address,
+spent_at_most(spend_row const& row, std::string const& own_address,
               std::int64_t dead_ms)
 {
-    if (of.address != own_address || of.at_ms <= 0)
+    if (row.address != own_address || row.at_ms <= 0)
     {
         return std::nullopt;
     }
-    auto const since = dead_ms - of.at_ms;
+    auto const since = dead_ms - row.at_ms;
     auto const later =
         since + since / clock_margin_divisor + least_clock_margin.ms;
     std::map<budget_id, spend_line> all;
-    for (auto const& [budget, line] : of.lines)
+    for (auto const& [budget, curve] : row.lines)
     {
-        auto& left = all[budget] = line;
-        left.spent = value_at(line, later);
+        auto& left = all[budget] = curve;
+        left.spent = value_at(curve, later);
         left.per_second = 0;
     }
     return all;
--- a/src/budget/sweep.cpp
+++ b/src/budget/sweep.cpp
@@ -18,7 +18,7 @@
 struct known_holders
 {
     std::set<incarnation_id> active;
-    std::set<incarnation_id> fenced; ///< a recovery began and did not end
+    std::set<incarnation_id> fenced; ///< their recovery is unfinished
 };
 
 result<known_holders> read_holders(store::port const& port)
@@ -41,9 +41,10 @@
     return known;
 }
 
-/// A VM that has just started may not be listed yet. Only one that the list has
-/// shown is dead when it is missing, so this is kept in the table: whoever saw
-/// it may be dead as well by then.
+/// Records the listed holders and returns those recorded before. A VM that has
+/// just started may not be listed yet, so only a VM that was listed before is
+/// dead if it is missing. The table keeps the record, since the router that saw
+/// the VM listed may be dead as well by then.
 result<std::set<incarnation_id>>
 record_listed(store::port const& port, known_holders const& known,
               std::vector<store::listed_vm> const& list)
@@ -62,15 +63,15 @@
             continue;
         }
         auto const key = listed_key(name);
-        // Whatever becomes of this write: the next round sees the row or
-        // writes it again.
+        // The result does not matter: the next round finds the row or writes it
+        // again.
         port.commit({{{key, 0}}, {{key, listed_value}}});
     }
     return once_listed;
 }
 
-std::vector<incarnation_id> both(std::set<incarnation_id> const& one,
-                                 std::set<incarnation_id> const& other)
+std::vector<incarnation_id> intersection(std::set<incarnation_id> const& one,
+                                         std::set<incarnation_id> const& other)
 {
     std::vector<incarnation_id> found;
     for (auto const& name : one)
@@ -91,8 +92,9 @@
     BOOST_LEAF_AUTO(known, read_holders(port));
     BOOST_LEAF_AUTO(list, port.list_vms());
     BOOST_LEAF_AUTO(once_listed, record_listed(port, known, list));
-    auto step = watch_list(std::move(watch), both(known.active, once_listed),
-                           list, list_lag, now);
+    auto step =
+        watch_list(std::move(watch), intersection(known.active, once_listed),
+                   list, list_lag, now);
     for (auto const& name : known.fenced)
     {
         step.proofs.push_back({name, proof_kind::absent_after_listed});
--- a/src/budget/top_up.cpp
+++ b/src/budget/top_up.cpp
@@ -22,7 +22,7 @@
     return decode_budget(found.value);
 }
 
-/// The top-up row holds its amount as text, so that a repeat can be told from
+/// The top-up row holds its amount as text, which distinguishes a retry from
 /// another top-up under a used id.
 error id_reused(std::string const& key)
 {
@@ -30,14 +30,14 @@
             key + " exists with another amount"};
 }
 
-/// After a write whose answer was lost, any later failure leaves it open
-/// whether the tokens were added. An operator who is told "unavailable" would
-/// top up again under another id, and the customer would have twice what was
-/// paid.
-error with_doubt(error fault, bool doubtful)
+/// After a write whose response was lost, a later failure leaves it unknown
+/// whether the tokens were added. If the error were `unavailable`, an operator
+/// would top up again under another id, and the customer would get twice the
+/// paid tokens.
+error top_up_fault(error fault, bool outcome_unknown)
 {
     fault.step = "top up";
-    if (doubtful)
+    if (outcome_unknown)
     {
         fault.kind = error_kind::timeout;
         fault.detail +=
@@ -55,8 +55,8 @@
     auto const budget_at = budget_key(budget);
     auto const amount = "{\"tokens\":" + std::to_string(tokens) + "}";
     store::commit_result outcome;
-    bool doubtful = false;
-    for (int attempt = 0; attempt < most_attempts; ++attempt)
+    bool outcome_unknown = false;
+    for (int attempt = 0; attempt < max_attempts; ++attempt)
     {
         auto const read = value_or_error(
             [&] {
@@ -64,7 +64,7 @@
             });
         if (auto const* const fault = std::get_if<error>(&read))
         {
-            return fail(with_doubt(*fault, doubtful));
+            return fail(top_up_fault(*fault, outcome_unknown));
         }
         auto const& rows = std::get<std::vector<store::row>>(read);
         auto const topup_found = find_row(rows, topup_at);
@@ -92,14 +92,14 @@
         {
             return row.paid;
         }
-        doubtful =
-            doubtful || outcome.outcome == store::commit_outcome::unknown;
-        if (is_turned_away(outcome))
+        outcome_unknown = outcome_unknown ||
+                          outcome.outcome == store::commit_outcome::unknown;
+        if (rejected_without_conflict(outcome))
         {
             break;
         }
     }
-    return fail(with_doubt(outcome.fault, doubtful));
+    return fail(top_up_fault(outcome.fault, outcome_unknown));
 }
 
 } // namespace caperpath::budget
--- a/src/budget/transfer.cpp
+++ b/src/budget/transfer.cpp
@@ -9,16 +9,16 @@
 namespace
 {
 
-constexpr duration first_pause{60};
-constexpr duration longest_pause{2'000};
-constexpr int most_doublings = 6;
+constexpr duration first_backoff{60};
+constexpr duration max_backoff{2'000};
+constexpr int max_doublings = 6;
 constexpr int overdue_tries = 3;
 
-duration pause_after(int tries)
+duration backoff_after(int tries)
 {
-    auto const doublings = std::min(tries, most_doublings);
-    return std::min(longest_pause,
-                    first_pause * (std::int64_t{1} << doublings));
+    auto const doublings = std::min(tries, max_doublings);
+    return std::min(max_backoff,
+                    first_backoff * (std::int64_t{1} << doublings));
 }
 
 } // namespace
@@ -30,7 +30,7 @@
     lane.last += 1;
     transfer what{lane.last, budget, tokens};
     lane.open.emplace(what.number,
-                      open_transfer{what, now + pause_after(0), 1});
+                      open_transfer{what, now + backoff_after(0), 1});
     return {std::move(sent), std::move(what)};
 }
 
@@ -46,7 +46,7 @@
                 continue;
             }
             found.due[receiver].push_back(one.what);
-            one.next_try = now + pause_after(one.tries);
+            one.next_try = now + backoff_after(one.tries);
             one.tries += 1;
         }
     }
