--- a/src/budget/recovery.cpp
+++ b/src/budget/recovery.cpp
@@ -198,7 +198,7 @@
     if (!budgets.empty())
     {
         return fail({error_kind::conflict, "close holder", "table",
-                     "a share of " + budgets.front().value + " remains"});
+                     "a share of " + budgets.front().value + " is left"});
     }
     BOOST_LEAF_CHECK(change_holder_state(
         port, holder.incarnation, holder_state::active, holder_state::closed));
--- a/src/budget/spend_journal.cpp
+++ b/src/budget/spend_journal.cpp
@@ -110,7 +110,7 @@
     if (!value.is_object())
     {
         return fail({error_kind::invalid, "decode spend row", "store",
-                     "the row is not a JSON object"});
+                     "the row is no JSON object"});
     }
     std::vector<config::fault> faults;
     config::json_reader reader{value, "", faults};
