--- a/include/caperpath/budget/sizing.hpp
+++ b/include/caperpath/budget/sizing.hpp
@@ -79,9 +79,9 @@
     duration deal_pause_per_holder{15};
     std::int64_t near_end_part{50}; ///< near the end: ungranted < paid / this
     duration fresh{50};             ///< a row read this long ago may be used
-    duration look_interval{1'000}; ///< between reads by a holder of idle tokens
-    duration near_end_look{200};   ///< near the end of the budget
-    duration waiting_look{50};     ///< while a reservation waits
+    duration look_interval{1'000};  ///< pause between reads with idle tokens
+    duration near_end_look{200};    ///< the same near the end of the budget
+    duration waiting_look{50};      ///< the same while a reservation waits
     /// While no reservation waits, the pauses between reads grow with the
     /// number of holders, so that the total rate of reads of a row does not.
     duration look_per_holder{0};
