--- a/src/gateway/call_after.hpp
+++ b/src/gateway/call_after.hpp
@@ -12,13 +12,13 @@
 namespace caperpath::gateway
 {
 
-/// A span as the timers of the event loop take it. Thread safe.
+/// Converts `span` for the timers of the event loop. Thread safe.
 inline std::chrono::milliseconds to_chrono(duration span)
 {
     return std::chrono::milliseconds{span.ms};
 }
 
-/// Calls `next` after `pause`; never if `timer` is set anew, cancelled or
+/// Calls `next` after `pause`, unless `timer` is set again, cancelled or
 /// destroyed before. Loop thread only.
 inline void call_after(boost::asio::steady_timer& timer, duration pause,
                        std::function<void()> next)
--- a/src/gateway/connection.cpp
+++ b/src/gateway/connection.cpp
@@ -14,20 +14,21 @@
 namespace
 {
 
-/// A sender that is faster than the other side is held back by TCP from here.
-constexpr std::size_t most_unread = 262'144;
+/// Above this, reading pauses and TCP flow control slows down the sender.
+constexpr std::size_t max_unread = 262'144;
 constexpr int probe_count = 2;
 
-/// Open connections can go silent for good without a reset: a firewall or a
-/// frozen machine in between forgets them. Without a bound a request on one
-/// waits for its whole timeout. The kernel's probes find an idle silent peer,
-/// the user timeout one that no longer acknowledges.
+/// Bounds how long a silent peer goes unnoticed. Connections can go silent
+/// without a reset, for example when a firewall drops their state or a machine
+/// freezes; a request would then wait for its whole timeout. Keep-alive probes
+/// detect an idle silent peer, the user timeout one that no longer
+/// acknowledges.
 void bound_silence(tcp::socket& socket, std::chrono::milliseconds silence)
 {
     auto const handle = socket.native_handle();
     auto const set = [handle](int level, int name, int value)
     {
-        // An option that cannot be set leaves the kernel's longer default.
+        // If an option cannot be set, the longer default of the kernel applies.
         static_cast<void>(
             setsockopt(handle, level, name, &value, sizeof value));
     };
@@ -46,48 +47,48 @@
 } // namespace
 
 connection::connection(tcp::socket socket, std::chrono::milliseconds silence)
-    : socket{std::move(socket)}, used{std::chrono::steady_clock::now()}
+    : socket{std::move(socket)}, last_used{std::chrono::steady_clock::now()}
 {
     bound_silence(this->socket, silence);
 }
 
 void connection::start()
 {
-    this->read_on();
+    this->start_read();
 }
 
-void connection::notify(waker_ptr sleeper)
+void connection::set_waker(waker_ptr wakeup)
 {
-    this->sleeper = std::move(sleeper);
+    this->wakeup = std::move(wakeup);
 }
 
 boost::beast::flat_buffer& connection::input()
 {
-    return this->arrived;
+    return this->input_buffer;
 }
 
-void connection::finish_sending()
+void connection::shutdown_send()
 {
-    boost::system::error_code ignored; // the other side has gone then
+    boost::system::error_code ignored; // fails if the peer has disconnected
     this->socket.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
 bool connection::has_input() const
 {
-    return this->arrived.size() > 0;
+    return this->input_buffer.size() > 0;
 }
 
 void connection::resume()
 {
     if (!this->reading && this->state == peer_end::open)
     {
-        this->read_on();
+        this->start_read();
     }
 }
 
-void connection::read_on()
+void connection::start_read()
 {
-    if (this->arrived.size() >= most_unread)
+    if (this->input_buffer.size() >= max_unread)
     {
         return;
     }
@@ -100,30 +101,31 @@
             self->reading = false;
             if (fault)
             {
-                self->ended(fault == asio::error::eof ? peer_end::finished
-                                                      : peer_end::broken);
+                self->set_end(fault == asio::error::eof ? peer_end::finished
+                                                        : peer_end::broken);
                 return;
             }
-            self->take_arrived(size);
-            self->used = std::chrono::steady_clock::now();
+            self->append_input(size);
+            self->last_used = std::chrono::steady_clock::now();
             if (self->state == peer_end::open)
             {
-                self->read_on();
+                self->start_read();
             }
-            if (self->sleeper)
+            if (self->wakeup)
             {
-                self->sleeper->raise();
+                self->wakeup->raise();
             }
         });
 }
 
-/// The buffer moves its bytes when some are consumed, so the kernel must not
-/// write into it while a read is open.
-void connection::take_arrived(std::size_t size)
+/// Copies the received bytes from `scratch`: the buffer moves its content when
+/// bytes are consumed, so the kernel must not write into it while a read is
+/// pending.
+void connection::append_input(std::size_t size)
 {
-    auto const space = this->arrived.prepare(size);
+    auto const space = this->input_buffer.prepare(size);
     asio::buffer_copy(space, asio::buffer(this->scratch), size);
-    this->arrived.commit(size);
+    this->input_buffer.commit(size);
 }
 
 void connection::send(std::string bytes)
@@ -138,11 +140,11 @@
     }
     if (!this->writing)
     {
-        this->write_on();
+        this->start_write();
     }
 }
 
-void connection::write_on()
+void connection::start_write()
 {
     if (this->queued.empty() || this->state == peer_end::broken)
     {
@@ -160,12 +162,13 @@
         asio::buffer(this->outgoing) + this->written,
         [self = this->shared_from_this()](boost::system::error_code fault,
                                           std::size_t size)
-        { self->wrote(fault, size); });
+        { self->handle_written(fault, size); });
 }
 
-void connection::wrote(boost::system::error_code fault, std::size_t size)
+void connection::handle_written(boost::system::error_code fault,
+                                std::size_t size)
 {
-    this->used = std::chrono::steady_clock::now();
+    this->last_used = std::chrono::steady_clock::now();
     this->written += size;
     if (!fault && this->written < this->outgoing.size())
     {
@@ -177,13 +180,13 @@
     this->written = 0;
     if (fault)
     {
-        this->ended(peer_end::broken);
+        this->set_end(peer_end::broken);
         return;
     }
-    this->write_on();
-    if (!this->writing && this->sleeper)
+    this->start_write();
+    if (!this->writing && this->wakeup)
     {
-        this->sleeper->raise();
+        this->wakeup->raise();
     }
 }
 
@@ -197,15 +200,15 @@
     return this->state;
 }
 
-void connection::ended(peer_end how)
+void connection::set_end(peer_end how)
 {
     if (this->state == peer_end::open)
     {
         this->state = how;
     }
-    if (this->sleeper)
+    if (this->wakeup)
     {
-        this->sleeper->raise();
+        this->wakeup->raise();
     }
 }
 
@@ -215,7 +218,7 @@
     {
         return;
     }
-    boost::system::error_code ignored; // it is closed either way
+    boost::system::error_code ignored; // the socket is closed in any case
     if (reset)
     {
         this->socket.set_option(asio::socket_base::linger{true, 0}, ignored);
@@ -226,7 +229,7 @@
 
 time_point connection::last_use() const
 {
-    return this->used;
+    return this->last_used;
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/connection.hpp
+++ b/src/gateway/connection.hpp
@@ -16,85 +16,88 @@
 
 using tcp = boost::asio::ip::tcp;
 
-/// How a connection's other side ended it.
+/// Whether and how the connection ended.
 enum class peer_end
 {
     open,
-    finished, ///< it closed its side in order
+    finished, ///< the peer shut down its sending side
     broken    ///< reset, timed out, or closed by us
 };
 
-/// A TCP connection that always reads: what arrives is put into `input`, and an
-/// end is noticed when it comes, also while nothing is expected. Without that a
-/// caller that has left is noticed only when an answer is written to it, and
-/// its request keeps a place at a server. Loop thread only; it keeps itself
-/// alive while operations are open.
+/// A TCP connection that reads all the time: received bytes are appended to
+/// `input`, and the end of the connection is noticed at once, also while no
+/// input is expected. Otherwise a caller that disconnects would be noticed only
+/// when a response is written to it, and its request would keep occupying a
+/// server. Loop thread only; keeps itself alive while operations are pending.
 class connection : public std::enable_shared_from_this<connection>
 {
 public:
-    /// Sets the socket options; `silence` bounds how long sent bytes may stay
-    /// without an acknowledgement, and how long a silent peer is believed in.
+    /// Sets the socket options. `silence` bounds how long sent bytes may stay
+    /// unacknowledged, and how long an idle peer may be silent before it is
+    /// probed.
     connection(tcp::socket socket, std::chrono::milliseconds silence);
 
     connection(connection const&) = delete;
     connection& operator=(connection const&) = delete;
 
-    /// Begins to read. Call once.
+    /// Starts to read. Call once.
     void start();
 
-    /// Who is woken by input, by an end and when `unsent` reaches 0.
-    void notify(waker_ptr sleeper);
+    /// Sets the waker to raise on input, on the end of the connection and when
+    /// `unsent` reaches 0.
+    void set_waker(waker_ptr wakeup);
 
-    /// Bytes that have arrived; consume what was used, then call `resume`.
+    /// The received bytes. Call `resume` after consuming some.
     boost::beast::flat_buffer& input();
 
-    /// Tells the other side that no more comes; it may still send. What is
-    /// unsent is lost.
-    void finish_sending();
+    /// Shuts down the sending side; the peer may still send. Unsent bytes are
+    /// lost.
+    void shutdown_send();
 
-    /// True when something of the input is left.
+    /// True if unconsumed input is left.
     bool has_input() const;
 
-    /// Reads on if it had stopped because much was left unread.
+    /// Continues to read if reading was paused because of too much unconsumed
+    /// input.
     void resume();
 
-    /// Sends `bytes` after those that were sent before.
+    /// Queues `bytes` behind those sent before.
     void send(std::string bytes);
 
-    /// Bytes that the kernel has not taken yet.
+    /// Number of bytes that were not handed to the kernel yet.
     std::size_t unsent() const;
 
     peer_end end() const;
 
-    /// Closes it now; open operations end. With `reset` the other side sees
-    /// that the exchange was broken off and not that it ended. Idempotent.
+    /// Closes the connection now and ends pending operations. With `reset` the
+    /// peer sees an abort instead of an orderly end. Idempotent.
     void close(bool reset = false);
 
-    /// When the last byte came or went.
+    /// When a byte was last received or sent.
     time_point last_use() const;
 
 private:
-    /// An event of a stream has some hundred bytes, a request some thousand.
+    /// Stream events have some hundred bytes, requests some thousand.
     static constexpr std::size_t read_size = 4'096;
 
-    void read_on();
-    void write_on();
+    void start_read();
+    void start_write();
     void write_rest();
-    void wrote(boost::system::error_code fault, std::size_t size);
-    void take_arrived(std::size_t size);
-    void ended(peer_end how);
+    void handle_written(boost::system::error_code fault, std::size_t size);
+    void append_input(std::size_t size);
+    void set_end(peer_end how);
 
     tcp::socket socket;
-    boost::beast::flat_buffer arrived;
-    std::array<char, read_size> scratch; ///< where the kernel puts bytes
-    waker_ptr sleeper;
-    std::string outgoing;  ///< handed to the kernel now
+    boost::beast::flat_buffer input_buffer;
+    std::array<char, read_size> scratch; ///< target of the pending read
+    waker_ptr wakeup;
+    std::string outgoing;  ///< being handed to the kernel
     std::size_t written{}; ///< of `outgoing`
-    std::string queued;    ///< to be handed over next
+    std::string queued;    ///< to be handed over after `outgoing`
     peer_end state{peer_end::open};
     bool reading{false};
     bool writing{false};
-    time_point used;
+    time_point last_used;
 };
 
 using connection_ptr = std::shared_ptr<connection>;
--- a/src/gateway/core.cpp
+++ b/src/gateway/core.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Shared prompt parts that are remembered.
-constexpr std::size_t remembered_parts = 20'000;
+/// Number of shared prompt parts to remember.
+constexpr std::size_t max_remembered_parts = 20'000;
 
 std::string peer_address(settings const& from)
 {
@@ -21,11 +21,11 @@
 } // namespace
 
 core::core(asio::any_io_executor const& loop, gateway::settings const& settings,
-           dialect names, store::async_port const& store,
+           dialect adapter, store::async_port const& store,
            incarnation_id incarnation, int log_descriptor)
-    : loop{loop}, settings{settings}, names{std::move(names)},
-      log{loop, log_descriptor, settings.vm}, prompts{remembered_parts},
-      repeats{settings.retries}, peers{loop, peer_address(settings), this->log},
+    : loop{loop}, settings{settings}, adapter{std::move(adapter)},
+      log{loop, log_descriptor, settings.vm}, prompts{max_remembered_parts},
+      retries{settings.retries}, peers{loop, peer_address(settings), this->log},
       roster{loop,
              store,
              incarnation,
@@ -44,8 +44,8 @@
       pool{loop,
            [this](bool answered)
            {
-               this->link =
-                   fleet::server_tried(this->link, answered, this->now.now());
+               this->uplink =
+                   fleet::server_tried(this->uplink, answered, this->now.now());
            }},
       crashes{loop, store, fleet::stable_hash(settings.vm), this->log},
       crash_checks{loop}
--- a/src/gateway/core.hpp
+++ b/src/gateway/core.hpp
@@ -34,47 +34,48 @@
 
 struct exchange;
 
-/// What all requests of one process share. Loop thread only.
+/// The state that all requests of the process share. Loop thread only.
 struct core
 {
     core(asio::any_io_executor const& loop, settings const& settings,
-         dialect names, store::async_port const& store,
+         dialect adapter, store::async_port const& store,
          incarnation_id incarnation, int log_descriptor);
 
     asio::any_io_executor loop;
     gateway::settings const settings;
-    dialect const names;
+    dialect const adapter;
     caperpath::clock const now{caperpath::clock::monotonic()};
-    /// For the limit on repeats, whose windows others share.
+    /// For the retry limit, whose windows are compared with those of other
+    /// routers.
     caperpath::clock const boot_time{caperpath::clock::boot()};
 
     decision_log log;
     gateway_metrics metrics;
-    std::shared_ptr<fleet::site const> site; ///< null until one is known
+    std::shared_ptr<fleet::site const> site; ///< null until first read
     fleet::server_table servers;
     bool servers_listed{false};
     fleet::prompt_memory prompts;
     fleet::engine_speed speed;
-    fleet::retry_window repeats;
+    fleet::retry_window retries;
     peer_link peers;
-    roster_keeper roster;
+    membership_tracker roster;
     budget_book budgets;
-    fleet::own_link link;
+    fleet::own_link uplink;
     server_pool pool;
     crash_keeper crashes;
     crash_check crash_checks;
-    std::set<fleet::fingerprint> on_probation; ///< under way here
-    /// Open sends of requests that were at a crash.
-    std::map<backend_server_id, std::int64_t> suspects_at;
-    std::optional<fleet::shutdown_schedule> stop; ///< a planned one
-    /// Shares are being given back, which needs all reservations to end.
+    std::set<fleet::fingerprint> on_probation; ///< in progress here
+    /// Open sends of requests that were at a crash, by server.
+    std::map<backend_server_id, std::int64_t> suspects_by_server;
+    std::optional<fleet::shutdown_schedule> stop; ///< set during a planned stop
+    /// Set while shares are returned, for which all reservations must end.
     std::optional<instant> returning_since;
     std::int64_t taken_while_stopping{};      ///< requests
-    std::set<waker*> sessions;                ///< one for each connection
-    std::set<connection const*> idle_callers; ///< no request has begun
+    std::set<waker*> sessions;                ///< one per caller connection
+    std::set<connection const*> idle_callers; ///< no request has started
     std::set<exchange*> open_requests;
     fleet::service_times service_times;
-    std::uint64_t requests{}; ///< numbers reservations
+    std::uint64_t reservations{}; ///< reservations so far; numbers their ids
 };
 
 } // namespace caperpath::gateway
--- a/src/gateway/crash_check.cpp
+++ b/src/gateway/crash_check.cpp
@@ -15,10 +15,12 @@
 namespace
 {
 
-/// The end of the connection came over the same way a moment ago.
-constexpr std::chrono::milliseconds longest_check{150};
-/// Requests of one crash end within this; a server needs longer to come back.
-constexpr duration answer_holds{500};
+/// Kept short: the end of the connection arrived over the same network path
+/// just before.
+constexpr std::chrono::milliseconds probe_timeout{150};
+/// The requests that a crash ends lose their connections within this time; a
+/// server takes longer to restart.
+constexpr duration result_lifetime{500};
 
 } // namespace
 
@@ -31,45 +33,47 @@
 {
     boost::beast::tcp_stream stream{this->executor};
     boost::system::error_code fault;
-    stream.expires_after(longest_check);
+    stream.expires_after(probe_timeout);
     co_await stream.async_connect(
         endpoint_of(address), asio::redirect_error(asio::use_awaitable, fault));
     co_return fault == asio::error::connection_refused ||
         fault == asio::error::connection_reset;
 }
 
-crash_check::question_ptr crash_check::recent(backend_server_id const& server)
+crash_check::probe_ptr
+crash_check::recent_probe(backend_server_id const& server)
 {
     auto const at = this->now.now();
-    std::erase_if(this->questions,
-                  [at](auto const& entry) {
+    std::erase_if(this->probes,
+                  [at](auto const& entry)
+                  {
                       return entry.second->gone &&
-                             at - entry.second->asked_at >= answer_holds;
+                             at - entry.second->started_at >= result_lifetime;
                   });
-    auto const found = this->questions.find(server);
-    return found == this->questions.end() ? nullptr : found->second;
+    auto const found = this->probes.find(server);
+    return found == this->probes.end() ? nullptr : found->second;
 }
 
 asio::awaitable<bool> crash_check::is_gone(backend_server_id const& server,
                                            std::string const& address)
 {
-    if (auto const asked = this->recent(server))
+    if (auto const existing = this->recent_probe(server))
     {
         boost::system::error_code cancelled;
-        while (!asked->gone)
+        while (!existing->gone)
         {
-            co_await asked->answered.async_wait(
+            co_await existing->finished.async_wait(
                 asio::redirect_error(asio::use_awaitable, cancelled));
         }
-        co_return *asked->gone;
+        co_return *existing->gone;
     }
-    auto const own = std::make_shared<question>(this->executor);
-    own->answered.expires_at(asio::steady_timer::time_point::max());
-    own->asked_at = this->now.now();
-    this->questions[server] = own;
-    own->gone = co_await this->is_refused(address);
-    own->answered.cancel();
-    co_return *own->gone;
+    auto const started = std::make_shared<probe>(this->executor);
+    started->finished.expires_at(asio::steady_timer::time_point::max());
+    started->started_at = this->now.now();
+    this->probes[server] = started;
+    started->gone = co_await this->is_refused(address);
+    started->finished.cancel();
+    co_return *started->gone;
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/crash_check.hpp
+++ b/src/gateway/crash_check.hpp
@@ -16,43 +16,43 @@
 namespace caperpath::gateway
 {
 
-/// Tells a server that crashed from one that only lost a connection: at the
-/// address of a process that is gone a connection is refused. All requests that
-/// the server had ask at the same moment; one connection answers them. Loop
-/// thread only; outlives its calls.
+/// Distinguishes a crashed server from a lost connection: the address of a
+/// process that has exited refuses connections. All requests of a server lose
+/// their connections at once and share one probe. Loop thread only; must
+/// outlive its calls.
 class crash_check
 {
 public:
     explicit crash_check(boost::asio::any_io_executor executor);
 
-    /// Whether nobody listens at `address`, the address of `server`. False also
-    /// when that cannot be told within a short time. Both arguments outlive the
-    /// call. @pre `address` is "IP:port".
+    /// True if no process listens at `address`, the address of `server`. False
+    /// also if this cannot be determined within a short timeout. Both arguments
+    /// must outlive the call. @pre `address` is "IP:port".
     boost::asio::awaitable<bool> is_gone(backend_server_id const& server,
                                          std::string const& address);
 
 private:
-    /// One question; asked anew after a short time, since a server may come
-    /// back under the same id.
-    struct question
+    /// One probe. Its result is valid for a short time only, since a server may
+    /// restart under the same id.
+    struct probe
     {
-        explicit question(boost::asio::any_io_executor const& executor)
-            : answered{executor}
+        explicit probe(boost::asio::any_io_executor const& executor)
+            : finished{executor}
         {
         }
 
-        /// Never expires; cancelled by the answer.
-        boost::asio::steady_timer answered;
+        /// Never expires; cancelled when `gone` is set.
+        boost::asio::steady_timer finished;
         std::optional<bool> gone;
-        instant asked_at{};
+        instant started_at{};
     };
-    using question_ptr = std::shared_ptr<question>;
+    using probe_ptr = std::shared_ptr<probe>;
 
     boost::asio::awaitable<bool> is_refused(std::string const& address);
-    question_ptr recent(backend_server_id const& server);
+    probe_ptr recent_probe(backend_server_id const& server);
 
     boost::asio::any_io_executor executor;
-    std::map<backend_server_id, question_ptr> questions;
+    std::map<backend_server_id, probe_ptr> probes;
     caperpath::clock now{caperpath::clock::monotonic()};
 };
 
--- a/src/gateway/crash_keeper.cpp
+++ b/src/gateway/crash_keeper.cpp
@@ -15,18 +15,20 @@
 namespace
 {
 
-/// Changes come as soon as they are written; a longer wait costs fewer calls.
-/// How late they may come is bounded: a connection that goes silent during the
-/// longer one is found by the kernel's probes, a lost call by other lost calls.
-constexpr duration hold_time{2'000};
-constexpr duration longest_hold_time{15'000};
-/// Requests that one crash ended are written together.
-constexpr duration gather_time{10};
-constexpr duration read_pause{500};
-constexpr duration sweep_time{10'000};
-/// Old rows are removed by whichever router comes first.
-constexpr std::size_t sweep_spread_ms = 60'000;
-constexpr std::size_t most_rows_in_a_write = 50;
+/// The store reports changes as soon as they are written, so a longer hold only
+/// saves calls. The delay stays bounded: keep-alive probes detect a connection
+/// that goes silent during the longer hold, and another lost store call makes
+/// the follower replace its own.
+constexpr duration poll_hold{2'000};
+constexpr duration max_poll_hold{15'000};
+/// Batches the requests that one crash ended into one write.
+constexpr duration batch_delay{10};
+constexpr duration read_retry_delay{500};
+constexpr duration sweep_interval{10'000};
+/// Each router adds its own delay to the age at which it removes rows, so that
+/// usually only one of them tries to remove a row.
+constexpr std::size_t sweep_jitter_ms = 60'000;
+constexpr std::size_t max_rows_per_write = 50;
 
 std::string_view name_of(fleet::crash_verdict verdict)
 {
@@ -55,12 +57,13 @@
                this->port,
                store::own_table(crash_table),
                {[this](store::feed_page const&) { this->read_rows(); },
-                [this](store::feed_page const& page) { this->take(page.rows); },
+                [this](store::feed_page const& page)
+                { this->merge(page.rows); },
                 [](bool, error const&) {},
                 [this](error const& why) { this->log.fault(why); },
                 {},
-                hold_time,
-                longest_hold_time},
+                poll_hold,
+                max_poll_hold},
                salt}
 {
 }
@@ -73,10 +76,10 @@
 
 void crash_keeper::store_call_missed()
 {
-    this->follower.renew();
+    this->follower.restart_poll();
 }
 
-bool crash_keeper::has_read() const
+bool crash_keeper::has_read_rows() const
 {
     return this->rows_read;
 }
@@ -97,45 +100,46 @@
     return fleet::quarantine_left(this->record, request, this->now.now());
 }
 
-fleet::crash_evidence crash_keeper::crashed(fleet::fingerprint const& request,
-                                            fleet::crash_evidence const& known,
-                                            std::string const& server)
+fleet::crash_evidence
+crash_keeper::record_crash(fleet::fingerprint const& request,
+                           fleet::crash_evidence const& known,
+                           std::string const& server)
 {
     auto const found =
         fleet::note_crash(this->record, request, known, this->now.now());
-    this->note("crash", request, server);
-    // A first crash that a repeat makes good is nobody else's concern.
+    this->log_evidence("crash", request, server);
+    // Evidence of a single crash stays local: a retry may still succeed.
     if (fleet::judge(found) != fleet::crash_verdict::suspected)
     {
-        this->share(request);
+        this->schedule_write(request);
     }
     return found;
 }
 
-void crash_keeper::answered(fleet::fingerprint const& request)
+void crash_keeper::record_response(fleet::fingerprint const& request)
 {
     if (!fleet::note_answer(this->record, request, this->now.now()))
     {
         return;
     }
-    this->note("crash_cleared", request, "answer");
+    this->log_evidence("crash_cleared", request, "answer");
     if (this->rows.contains(request) || this->unwritten.contains(request))
     {
-        this->share(request);
+        this->schedule_write(request);
     }
 }
 
-void crash_keeper::left_unanswered(fleet::fingerprint const& request)
+void crash_keeper::record_unanswered(fleet::fingerprint const& request)
 {
     if (this->evidence(request).crashes > 0 && !this->rows.contains(request))
     {
-        this->share(request);
+        this->schedule_write(request);
     }
 }
 
-void crash_keeper::note(std::string const& step,
-                        fleet::fingerprint const& request,
-                        std::string const& who)
+void crash_keeper::log_evidence(std::string const& step,
+                                fleet::fingerprint const& request,
+                                std::string const& source)
 {
     auto const known = this->evidence(request);
     this->log.write(log_weight::notable, step,
@@ -143,7 +147,7 @@
                      {"verdict", std::string{name_of(fleet::judge(known))}},
                      {"crashes", std::to_string(known.crashes)},
                      {"cleared", std::to_string(known.cleared)},
-                     {"by", who}});
+                     {"by", source}});
 }
 
 void crash_keeper::read_rows()
@@ -155,19 +159,19 @@
             if (auto const* fault = std::get_if<error>(&reply))
             {
                 this->log.fault(*fault);
-                call_after(this->read_timer, read_pause,
+                call_after(this->read_timer, read_retry_delay,
                            [this] { this->read_rows(); });
                 return;
             }
             for (auto const& row : std::get<std::vector<store::row>>(reply))
             {
-                this->take(row);
+                this->merge(row);
             }
             this->rows_read = true;
         });
 }
 
-void crash_keeper::take(std::vector<store::feed_row> const& rows)
+void crash_keeper::merge(std::vector<store::feed_row> const& rows)
 {
     for (auto const& row : rows)
     {
@@ -178,37 +182,38 @@
         }
         else if (request)
         {
-            this->take(store::row{row.key, row.version, row.value});
+            this->merge(store::row{row.key, row.version, row.value});
         }
     }
 }
 
-void crash_keeper::take(store::row const& row)
+void crash_keeper::merge(store::row const& row)
 {
     auto const request = crash_request(row.key);
-    auto const told = decode_evidence(row.value);
-    if (!request || !told)
+    auto const received = decode_evidence(row.value);
+    if (!request || !received)
     {
         return;
     }
     auto& version = this->rows[*request];
     version = std::max(version, row.version);
-    if (fleet::merge_evidence(this->record, *request, *told, this->now.now()))
+    if (fleet::merge_evidence(this->record, *request, *received,
+                              this->now.now()))
     {
-        this->note("crash_told", *request, "store");
+        this->log_evidence("crash_told", *request, "store");
     }
 }
 
-void crash_keeper::share(fleet::fingerprint const& request)
+void crash_keeper::schedule_write(fleet::fingerprint const& request)
 {
     this->unwritten.insert(request);
     if (!this->writing)
     {
-        this->write_soon(gather_time);
+        this->write_after(batch_delay);
     }
 }
 
-void crash_keeper::write_soon(duration pause)
+void crash_keeper::write_after(duration pause)
 {
     this->writing = true;
     call_after(this->write_timer, pause, [this] { this->write(); });
@@ -216,14 +221,14 @@
 
 void crash_keeper::write()
 {
-    // The record is bounded and may have dropped some of them.
+    // The record is bounded and may have evicted some of them.
     std::erase_if(this->unwritten, [this](fleet::fingerprint const& request)
                   { return !this->record.entries.contains(request); });
     store::transaction txn;
     evidence_map sent;
     for (auto const& request : this->unwritten)
     {
-        if (sent.size() == most_rows_in_a_write)
+        if (sent.size() == max_rows_per_write)
         {
             break;
         }
@@ -241,14 +246,14 @@
         return;
     }
     this->port.commit(txn, [this, sent](store::commit_result const& result)
-                      { this->wrote(sent, result); });
+                      { this->handle_write_result(sent, result); });
 }
 
-/// A row that another router wrote meanwhile is merged and written again if
-/// this router still knows more. The same repairs a write whose answer was
-/// lost.
-void crash_keeper::wrote(evidence_map const& sent,
-                         store::commit_result const& result)
+/// Merges rows that another router wrote in the meantime, and writes them again
+/// if this router still knows more. This also repairs a write whose response
+/// was lost.
+void crash_keeper::handle_write_result(evidence_map const& sent,
+                                       store::commit_result const& result)
 {
     if (result.outcome == store::commit_outcome::applied)
     {
@@ -257,7 +262,7 @@
         {
             auto& version = this->rows[request];
             version = std::max(version, result.version);
-            // More may be known by now; then it is written again.
+            // Write again if the evidence has changed since.
             if (this->evidence(request) == written)
             {
                 this->unwritten.erase(request);
@@ -274,35 +279,35 @@
         {
             this->rows.erase(*request);
         }
-        this->take(row);
+        this->merge(row);
     }
     if (result.failed.empty() && this->failures == 1)
     {
         this->log.fault(result.fault);
     }
-    this->write_soon(retry_pause(this->failures, this->salt));
+    this->write_after(retry_pause(this->failures, this->salt));
 }
 
 void crash_keeper::sweep()
 {
-    auto const later =
-        duration{static_cast<std::int64_t>(this->salt % sweep_spread_ms)};
+    auto const jitter =
+        duration{static_cast<std::int64_t>(this->salt % sweep_jitter_ms)};
     for (auto const& request :
-         fleet::forget_old(this->record, this->now.now() - later))
+         fleet::forget_old(this->record, this->now.now() - jitter))
     {
         this->unwritten.erase(request);
     }
-    this->remove_rows();
-    call_after(this->sweep_timer, sweep_time, [this] { this->sweep(); });
+    this->remove_old_rows();
+    call_after(this->sweep_timer, sweep_interval, [this] { this->sweep(); });
 }
 
-/// Rows of requests that are forgotten.
-void crash_keeper::remove_rows()
+/// Removes the rows of requests that the record no longer holds.
+void crash_keeper::remove_old_rows()
 {
     store::transaction txn;
     for (auto const& [request, version] : this->rows)
     {
-        if (txn.writes.size() < most_rows_in_a_write &&
+        if (txn.writes.size() < max_rows_per_write &&
             !this->record.entries.contains(request))
         {
             auto const key = crash_key(request);
@@ -310,13 +315,14 @@
             txn.writes.push_back({key, std::nullopt});
         }
     }
-    for (auto const& one : txn.conditions)
+    for (auto const& condition : txn.conditions)
     {
-        this->rows.erase(*crash_request(one.key));
+        this->rows.erase(*crash_request(condition.key));
     }
     if (!txn.writes.empty())
     {
-        // Another router may have removed one of them; the feed shows.
+        // On a conflict another router removed one of them; the feed reports
+        // it.
         this->port.commit(txn, [](store::commit_result const&) {});
     }
 }
--- a/src/gateway/crash_keeper.hpp
+++ b/src/gateway/crash_keeper.hpp
@@ -20,60 +20,65 @@
 namespace caperpath::gateway
 {
 
-/// What this router knows of requests that crash servers, and a row in the
-/// store for each that may come again at another router. While the store is
-/// out of reach rows wait here. Loop thread only; outlives its calls, and `log`
-/// outlives it.
+/// Tracks the requests that crash servers, and writes a row to the store for
+/// each that may be retried at another router. Rows stay queued while the store
+/// is unreachable. Loop thread only; must outlive its calls, and `log` must
+/// outlive it.
 class crash_keeper
 {
 public:
-    /// `salt` is another one in each router.
+    /// `salt` differs between routers.
     crash_keeper(boost::asio::any_io_executor const& executor,
                  store::async_port port, std::size_t salt, decision_log& log);
 
-    /// Begins to read what other routers know; call once.
+    /// Starts to read the evidence of other routers; call once.
     void start();
 
-    /// A call to the store was lost: what others wrote may be missed as well.
+    /// Call if another call to the store was lost: the pending call for changes
+    /// may be lost too, so it is replaced.
     void store_call_missed();
 
-    /// True once it has read what other routers knew at its start.
-    bool has_read() const;
+    /// True once the rows that existed at the start were read.
+    bool has_read_rows() const;
 
-    /// Without any evidence no request needs a fingerprint.
+    /// True if there is evidence for any request. Otherwise callers need not
+    /// compute fingerprints.
     bool knows_any() const;
 
     fleet::crash_evidence evidence(fleet::fingerprint const& request) const;
 
-    /// What is left of the time for which `request` is not sent.
+    /// Remaining time for which `request` is not sent.
     duration quarantine_left(fleet::fingerprint const& request) const;
 
-    /// `server` crashed while it had `request`, sent to it when `known` was
-    /// known. Returns what is known now.
-    fleet::crash_evidence crashed(fleet::fingerprint const& request,
-                                  fleet::crash_evidence const& known,
-                                  std::string const& server);
+    /// Records that `server` crashed while it processed `request`, which was
+    /// sent when `known` was the evidence. Returns the updated evidence.
+    fleet::crash_evidence record_crash(fleet::fingerprint const& request,
+                                       fleet::crash_evidence const& known,
+                                       std::string const& server);
 
-    /// A whole answer came.
-    void answered(fleet::fingerprint const& request);
+    /// Records that `request` got a complete response.
+    void record_response(fleet::fingerprint const& request);
 
-    /// The caller got no answer and may send the request again, anywhere.
-    void left_unanswered(fleet::fingerprint const& request);
+    /// Records that the caller got no response and may retry the request at any
+    /// router.
+    void record_unanswered(fleet::fingerprint const& request);
 
 private:
     using evidence_map = std::map<fleet::fingerprint, fleet::crash_evidence>;
 
     void read_rows();
-    void take(std::vector<store::feed_row> const& rows);
-    void take(store::row const& row);
-    void share(fleet::fingerprint const& request);
-    void write_soon(duration pause);
+    void merge(std::vector<store::feed_row> const& rows);
+    void merge(store::row const& row);
+    void schedule_write(fleet::fingerprint const& request);
+    void write_after(duration pause);
     void write();
-    void wrote(evidence_map const& sent, store::commit_result const& result);
+    void handle_write_result(evidence_map const& sent,
+                             store::commit_result const& result);
     void sweep();
-    void remove_rows();
-    void note(std::string const& step, fleet::fingerprint const& request,
-              std::string const& who);
+    void remove_old_rows();
+    void log_evidence(std::string const& step,
+                      fleet::fingerprint const& request,
+                      std::string const& source);
 
     boost::asio::steady_timer read_timer;
     boost::asio::steady_timer write_timer;
@@ -82,12 +87,12 @@
     decision_log& log;
     std::size_t salt;
     fleet::crash_record record;
-    /// Versions of the rows in the store.
+    /// Versions of the rows that are in the store.
     std::map<fleet::fingerprint, std::uint64_t> rows;
     std::set<fleet::fingerprint> unwritten;
     bool rows_read{false};
     bool writing{false};
-    int failures{}; ///< writes in a row that were not applied
+    int failures{}; ///< consecutive writes that were not applied
     table_follower follower;
     caperpath::clock now{caperpath::clock::monotonic()};
 };
--- a/src/gateway/crash_rows.cpp
+++ b/src/gateway/crash_rows.cpp
@@ -34,9 +34,10 @@
         std::string_view{key}.substr(key_begin.size(), key.size() - around));
 }
 
-std::string encode_evidence(fleet::crash_evidence const& of)
+std::string encode_evidence(fleet::crash_evidence const& evidence)
 {
-    return json{{"cleared", of.cleared}, {"crashes", of.crashes}}.dump();
+    return json{{"cleared", evidence.cleared}, {"crashes", evidence.crashes}}
+        .dump();
 }
 
 std::optional<fleet::crash_evidence> decode_evidence(std::string const& text)
--- a/src/gateway/crash_rows.hpp
+++ b/src/gateway/crash_rows.hpp
@@ -6,8 +6,9 @@
 #include <optional>
 #include <string>
 
-/// The rows of requests that were at crashes, one a request. All stand in one
-/// partition, named by the end of their keys. Thread safe.
+/// Keys and values of the rows of requests that crash servers, one row per
+/// request. The suffix of the keys puts all of them into one partition. Thread
+/// safe.
 namespace caperpath::gateway
 {
 
@@ -17,12 +18,12 @@
 
 std::string crash_key(fleet::fingerprint const& request);
 
-/// Nothing for the key of another row.
+/// Returns nothing if `key` is not of this table.
 std::optional<fleet::fingerprint> crash_request(std::string const& key);
 
-std::string encode_evidence(fleet::crash_evidence const& of);
+std::string encode_evidence(fleet::crash_evidence const& evidence);
 
-/// Nothing for a row that no router of this version writes.
+/// Returns nothing if `text` is not in the format of this version.
 std::optional<fleet::crash_evidence> decode_evidence(std::string const& text);
 
 } // namespace caperpath::gateway
--- a/src/gateway/crash_step.cpp
+++ b/src/gateway/crash_step.cpp
@@ -13,41 +13,44 @@
 
 using fleet::crash_verdict;
 
-/// Another caller's attempt is on its way and clears the request or does not.
-constexpr duration probation_retry{500};
+/// `Retry-After` while another attempt of the same request is in progress; its
+/// result decides about the probation.
+constexpr duration probation_retry_after{500};
 
-fleet::fingerprint const& fingerprint_of(exchange& of)
+fleet::fingerprint const& fingerprint_of(exchange& current)
 {
-    if (!of.fingerprint)
+    if (!current.fingerprint)
     {
-        auto const target = of.request.target();
-        auto const host = of.request[http::field::host];
-        auto const method = of.request.method_string();
-        auto const& caller =
-            of.customer != nullptr ? of.customer->id.value : of.facts.key;
-        of.fingerprint = fleet::fingerprint_of({caller,
-                                                {method.data(), method.size()},
-                                                {host.data(), host.size()},
-                                                {target.data(), target.size()},
-                                                of.request.body()});
+        auto const target = current.request.target();
+        auto const host = current.request[http::field::host];
+        auto const method = current.request.method_string();
+        auto const& caller = current.customer != nullptr
+                                 ? current.customer->id.value
+                                 : current.facts.key;
+        current.fingerprint =
+            fleet::fingerprint_of({caller,
+                                   {method.data(), method.size()},
+                                   {host.data(), host.size()},
+                                   {target.data(), target.size()},
+                                   current.request.body()});
     }
-    return *of.fingerprint;
+    return *current.fingerprint;
 }
 
-/// Clear while nothing is known of any request.
-fleet::crash_evidence known_of(exchange& of)
+/// Avoids computing the fingerprint while there is no evidence at all.
+fleet::crash_evidence known_evidence(exchange& current)
 {
-    auto const& crashes = of.shared.crashes;
-    return crashes.knows_any() ? crashes.evidence(fingerprint_of(of))
+    auto const& crashes = current.shared.crashes;
+    return crashes.knows_any() ? crashes.evidence(fingerprint_of(current))
                                : fleet::crash_evidence{};
 }
 
 } // namespace
 
-std::optional<refusal> refuse_for_crashes(exchange& of)
+std::optional<rejection> check_crash_evidence(exchange& current)
 {
-    auto& shared = of.shared;
-    switch (fleet::judge(known_of(of)))
+    auto& shared = current.shared;
+    switch (fleet::judge(known_evidence(current)))
     {
     case crash_verdict::clear:
     case crash_verdict::suspected:
@@ -55,38 +58,41 @@
     case crash_verdict::on_probation:
         break;
     case crash_verdict::quarantined:
-        return refusal{http_too_many, "crashes_servers",
-                       shared.crashes.quarantine_left(fingerprint_of(of))};
+        return rejection{
+            http_too_many, "crashes_servers",
+            shared.crashes.quarantine_left(fingerprint_of(current))};
     }
-    if (of.on_probation)
+    if (current.on_probation)
     {
         return std::nullopt;
     }
-    of.on_probation = shared.on_probation.insert(fingerprint_of(of)).second;
-    if (of.on_probation)
+    current.on_probation =
+        shared.on_probation.insert(fingerprint_of(current)).second;
+    if (current.on_probation)
     {
         return std::nullopt;
     }
-    return refusal{http_unavailable, "crash_probation", probation_retry};
+    return rejection{http_unavailable, "crash_probation",
+                     probation_retry_after};
 }
 
-void end_probation(exchange& of)
+void end_probation(exchange& current)
 {
-    if (std::exchange(of.on_probation, false))
+    if (std::exchange(current.on_probation, false))
     {
-        of.shared.on_probation.erase(fingerprint_of(of));
+        current.shared.on_probation.erase(fingerprint_of(current));
     }
 }
 
-void note_sent(exchange& of)
+void record_evidence_at_send(exchange& current)
 {
-    of.evidence = known_of(of);
+    current.evidence = known_evidence(current);
 }
 
-std::vector<backend_server_id> servers_to_avoid(exchange const& of)
+std::vector<backend_server_id> servers_to_avoid(exchange const& current)
 {
-    auto avoided = of.tried;
-    for (auto const& [server, suspects] : of.shared.suspects_at)
+    auto avoided = current.tried;
+    for (auto const& [server, suspects] : current.shared.suspects_by_server)
     {
         if (suspects > 0)
         {
@@ -96,10 +102,10 @@
     return avoided;
 }
 
-asio::awaitable<void> check_for_crash(exchange& of,
+asio::awaitable<void> probe_for_crash(exchange& current,
                                       backend_server_id const& server)
 {
-    auto& shared = of.shared;
+    auto& shared = current.shared;
     auto const found = shared.servers.servers.find(server);
     if (found == shared.servers.servers.end())
     {
@@ -111,28 +117,28 @@
     {
         co_return;
     }
-    of.was_at_crash = true;
-    of.evidence =
-        shared.crashes.crashed(fingerprint_of(of), of.evidence, server.value);
+    current.server_crashed = true;
+    current.evidence = shared.crashes.record_crash(
+        fingerprint_of(current), current.evidence, server.value);
     auto const after = shared.servers.servers.find(server);
     if (after != shared.servers.servers.end())
     {
         fleet::note_failure(after->second, true, shared.now.now());
-        shared.pool.forget(server);
+        shared.pool.drop(server);
     }
 }
 
-void note_whole_answer(exchange& of)
+void record_complete_response(exchange& current)
 {
-    if (is_success(of.status) && of.shared.crashes.knows_any())
+    if (is_success(current.status) && current.shared.crashes.knows_any())
     {
-        of.shared.crashes.answered(fingerprint_of(of));
+        current.shared.crashes.record_response(fingerprint_of(current));
     }
 }
 
-bool stops_repeats(exchange const& of)
+bool forbids_retry(exchange const& current)
 {
-    return fleet::judge(of.evidence) >= crash_verdict::on_probation;
+    return fleet::judge(current.evidence) >= crash_verdict::on_probation;
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/crash_step.hpp
+++ b/src/gateway/crash_step.hpp
@@ -3,33 +3,35 @@
 
 #include "gateway/exchange.hpp"
 
-/// What a request's way has to do with requests that crash servers.
+/// How the pipeline handles requests that crash servers.
 namespace caperpath::gateway
 {
 
-/// Why the request is not sent, by what is known of it now; nothing if it is.
-std::optional<refusal> refuse_for_crashes(exchange& of);
+/// The rejection if the current evidence forbids to send the request; nothing
+/// if it may be sent.
+std::optional<rejection> check_crash_evidence(exchange& current);
 
-/// Lets the next attempt of the same request go.
-void end_probation(exchange& of);
+/// Releases the probation slot, so that another attempt with the same
+/// fingerprint may be sent.
+void end_probation(exchange& current);
 
-/// Call before each send: remembers what was known of the request by then.
-void note_sent(exchange& of);
+/// Records the current evidence. Call before each send.
+void record_evidence_at_send(exchange& current);
 
-/// Servers that a suspected request should not share with another suspect:
-/// whichever causes a crash, both would be held for it.
-std::vector<backend_server_id> servers_to_avoid(exchange const& of);
+/// The servers tried so far and those that process another suspect: if two
+/// suspects share a server that crashes, both are blamed.
+std::vector<backend_server_id> servers_to_avoid(exchange const& current);
 
-/// The connection to `server` ended before the answer did. Finds out whether
-/// the server crashed, and notes it.
-asio::awaitable<void> check_for_crash(exchange& of,
+/// Call if the connection to `server` ended before the response was complete.
+/// Probes whether the server crashed, and records a crash.
+asio::awaitable<void> probe_for_crash(exchange& current,
                                       backend_server_id const& server);
 
-/// A whole answer went to the caller.
-void note_whole_answer(exchange& of);
+/// Call when the whole response was sent to the caller.
+void record_complete_response(exchange& current);
 
-/// True when the request is not to be repeated by this router.
-bool stops_repeats(exchange const& of);
+/// True if this router must not retry the request.
+bool forbids_retry(exchange const& current);
 
 } // namespace caperpath::gateway
 
--- a/src/gateway/decision_log.cpp
+++ b/src/gateway/decision_log.cpp
@@ -18,12 +18,13 @@
 namespace
 {
 
-constexpr duration flush_time{50};
-/// Routine lines are written at this rate on average.
+constexpr duration flush_interval{50};
+/// Average rate of routine lines.
 constexpr std::int64_t bytes_per_flush = 1'000;
 constexpr std::int64_t burst_bytes = 64'000;
-/// Notable lines may also use what routine lines leave of this.
-constexpr std::size_t most_pending = 256'000;
+/// Size limit of the buffer. Notable lines are not limited by the rate and may
+/// use all that is left of it.
+constexpr std::size_t max_pending = 256'000;
 
 } // namespace
 
@@ -39,7 +40,7 @@
 
 bool decision_log::allows(log_weight weight, std::size_t size)
 {
-    if (this->pending.size() + size > most_pending)
+    if (this->pending.size() + size > max_pending)
     {
         return false;
     }
@@ -88,7 +89,7 @@
                                    this->pending.size());
         if (taken <= 0)
         {
-            return; // the reader is slow; the next flush tries again
+            return; // slow reader; the next flush continues
         }
         this->pending.erase(0, static_cast<std::size_t>(taken));
     }
@@ -106,7 +107,7 @@
         ::poll(&writable, 1, static_cast<int>(left.ms));
         if ((writable.revents & (POLLERR | POLLNVAL)) != 0)
         {
-            return; // the reader has gone
+            return; // the reader has closed its end
         }
         this->flush();
     }
@@ -120,15 +121,15 @@
 void decision_log::tick()
 {
     this->allowance = std::min(burst_bytes, this->allowance + bytes_per_flush);
-    if (this->drops_told != this->lines_dropped && this->allowance > 0)
+    if (this->drops_reported != this->lines_dropped && this->allowance > 0)
     {
-        auto const count = this->lines_dropped - this->drops_told;
-        this->drops_told = this->lines_dropped;
+        auto const count = this->lines_dropped - this->drops_reported;
+        this->drops_reported = this->lines_dropped;
         this->write(log_weight::notable, "log",
                     {{"dropped_lines", std::to_string(count)}});
     }
     this->flush();
-    call_after(this->timer, flush_time, [this] { this->tick(); });
+    call_after(this->timer, flush_interval, [this] { this->tick(); });
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/decision_log.hpp
+++ b/src/gateway/decision_log.hpp
@@ -15,24 +15,24 @@
 namespace caperpath::gateway
 {
 
-/// One `name=value` of a line.
+/// One `name=value` field of a line.
 struct log_field
 {
     std::string_view name;
     std::string value;
 };
 
-/// How much a line matters when not all can be written.
+/// Priority of a line if not all lines can be written.
 enum class log_weight
 {
-    routine, ///< a request that went well
-    notable  ///< a failed request, or a change of what the process believes
+    routine, ///< a request that was served
+    notable  ///< a failed request, or a change of state
 };
 
-/// Structured lines to a file descriptor, one a decision. Never blocks: lines
-/// wait in memory, bounded, and what does not fit is counted and the count
-/// written later. Without that a reader that stops reading the pipe stops the
-/// router. Loop thread only.
+/// Writes structured lines to a file descriptor, one per decision. Never
+/// blocks: lines are buffered up to a bound; lines beyond it are dropped, and
+/// their count is logged later. Otherwise a reader that stops reading the pipe
+/// would stop the router. Loop thread only.
 class decision_log
 {
 public:
@@ -44,17 +44,17 @@
     void write(log_weight weight, std::string_view step,
                std::vector<log_field> const& fields);
 
-    /// An error with its step, peer and kind.
+    /// Writes an error with its step, peer and kind.
     void fault(error const& what);
 
-    /// Hands over what the descriptor takes now.
+    /// Writes as much as the descriptor accepts now.
     void flush();
 
-    /// For the end of the process: a `flush` that waits for a slow reader, but
-    /// not beyond `bound`. Blocks.
+    /// Flushes before the process exits: waits for a slow reader, at most
+    /// `bound`. Blocks.
     void finish(duration bound);
 
-    /// Lines that were not written, since the start.
+    /// Number of lines dropped since the start.
     std::uint64_t dropped() const;
 
 private:
@@ -67,7 +67,7 @@
     std::string pending;
     std::int64_t allowance;
     std::uint64_t lines_dropped{};
-    std::uint64_t drops_told{};
+    std::uint64_t drops_reported{};
 };
 
 } // namespace caperpath::gateway
--- a/src/gateway/dialect.hpp
+++ b/src/gateway/dialect.hpp
@@ -16,30 +16,30 @@
 #include <variant>
 #include <vector>
 
-/// What the gateway asks of the adapter for callers, backend servers and
-/// operators: names and formats are the adapter's, meanings are these types'.
+/// The interface of the adapter for callers, backend servers and operators: the
+/// adapter defines names and formats, these types define their meaning.
 namespace caperpath::gateway
 {
 
 namespace http = boost::beast::http;
 
-/// What the head of a caller's request says. Immutable value.
+/// The content of the head of a request. Immutable value.
 struct request_facts
 {
-    std::string id;                   ///< of this attempt of the caller
-    std::optional<duration> patience; ///< how long the caller will wait
-    std::string key;                  ///< empty if there is none
+    std::string id;                   ///< of this attempt by the caller
+    std::optional<duration> patience; ///< how long the caller waits
+    std::string key;                  ///< API key; empty if not sent
     token_count prompt_tokens{};
-    token_count output_tokens{}; ///< at most
+    token_count output_tokens{}; ///< upper bound
     std::uint64_t shared_part{}; ///< 0 if the prompt shares nothing
-    token_count shared_tokens{}; ///< up to and with that part
-    std::string last_event_id;   ///< the caller has the stream up to here
+    token_count shared_tokens{}; ///< tokens up to the end of that part
+    std::string last_event_id;   ///< last event that the caller received
 
     friend bool operator==(request_facts const&,
                            request_facts const&) = default;
 };
 
-/// What the gateway tells a server beside the caller's own request.
+/// What the gateway adds to the caller's request when it sends it to a server.
 struct dispatch_facts
 {
     duration time_left{};
@@ -47,18 +47,18 @@
     std::optional<customer_id> customer;
     std::int64_t priority{}; ///< 0 is the most urgent
     bool has_priority{false};
-    std::string resume_after; ///< id of the last event that was delivered
+    std::string resume_after; ///< id of the last relayed event
 
     friend bool operator==(dispatch_facts const&,
                            dispatch_facts const&) = default;
 };
 
-/// What the head of a server's answer says. Immutable value.
+/// The content of the head of a response. Immutable value.
 struct answer_facts
 {
-    std::string request_id; ///< whose answer it is; empty if it does not say
+    std::string request_id; ///< the request it answers; empty if not stated
     bool is_signed{false};
-    bool not_run{false};      ///< the server says that it did not run it
+    bool not_run{false};      ///< the server states that it did not run it
     bool wrong_server{false}; ///< another server has the address now
     std::optional<fleet::load_report> load;
     std::optional<duration> idle_timeout; ///< of the connection
@@ -66,34 +66,35 @@
     friend bool operator==(answer_facts const&, answer_facts const&) = default;
 };
 
-/// A struct of functions; each is pure and thread safe.
+/// Functions of the adapter; each is pure and thread safe.
 struct dialect
 {
     request_facts (*read_request)(http::fields const& head){};
 
-    /// Takes out what is not for the server and sets what the gateway says.
+    /// Removes the fields that are not for the server and adds those of
+    /// `facts`.
     void (*prepare_request)(http::fields& head, dispatch_facts const& facts){};
 
     answer_facts (*read_answer)(http::fields const& head, unsigned status){};
 
-    /// Takes out what concerns only the server's connection.
+    /// Removes the fields that concern only the connection to the server.
     void (*prepare_answer)(http::fields& head){};
 
-    /// Marks an answer of the gateway's own to request `id`.
+    /// Sets the fields of a rejection of request `id` by the gateway.
     void (*prepare_refusal)(http::fields& head, std::string const& id,
                             std::optional<duration> retry_after){};
 
-    /// The configuration as the operators wrote it.
+    /// Parses the configuration that the operators wrote.
     std::variant<fleet::site_parts, error> (*read_site)(
         std::string const& text){};
 
-    /// A server's entry under `id`.
+    /// Parses the entry of the server `id`.
     std::variant<fleet::server_entry, error> (*read_server)(
         std::string const& id, std::string const& text){};
 
-    std::string site_table;   ///< where the operators write
-    std::string site_key;     ///< the configuration's row in it
-    std::string server_table; ///< where the servers write
+    std::string site_table;   ///< table that the operators write
+    std::string site_key;     ///< row of the configuration in it
+    std::string server_table; ///< table that the servers write
 };
 
 } // namespace caperpath::gateway
--- a/src/gateway/dispatch.cpp
+++ b/src/gateway/dispatch.cpp
@@ -15,62 +15,64 @@
 
 using fleet::attempt_end;
 
-/// When no server can take the request, so long until one may be back.
-constexpr duration no_server_retry{400};
-constexpr duration shortest_retry{150};
-/// Returns are spread over this much more than the shortest wait, so that those
-/// who are told to come back do not come back together.
-constexpr std::uint64_t retry_spread_ms = 300;
-
-duration spread(exchange const& of, duration least)
+/// `Retry-After` if no server can take the request: about the time until a
+/// server may be available again.
+constexpr duration no_server_retry_after{400};
+constexpr duration min_retry_after{150};
+/// Jitter added to the shortest `Retry-After`, so that rejected callers do not
+/// all retry at the same time.
+constexpr std::uint64_t retry_jitter_ms = 300;
+
+duration with_jitter(exchange const& current, duration least)
 {
-    auto const drawn = fleet::stable_hash(of.facts.id) % retry_spread_ms;
-    return least + duration{static_cast<std::int64_t>(drawn)};
+    auto const jitter = fleet::stable_hash(current.facts.id) % retry_jitter_ms;
+    return least + duration{static_cast<std::int64_t>(jitter)};
 }
 
-std::optional<fleet::placement> choose(exchange& of)
+std::optional<fleet::placement> choose_server(exchange& current)
 {
-    auto& shared = of.shared;
+    auto& shared = current.shared;
     auto const place = [&](std::vector<backend_server_id> const& avoided)
     {
-        return fleet::place(shared.servers, *of.service, of.work,
+        return fleet::place(shared.servers, *current.service, current.work,
                             shared.prompts, avoided, shared.speed,
                             shared.now.now());
     };
-    if (of.evidence.crashes > 0)
+    if (current.evidence.crashes > 0)
     {
-        if (auto alone = place(servers_to_avoid(of)))
+        if (auto exclusive = place(servers_to_avoid(current)))
         {
-            return alone;
+            return exclusive;
         }
     }
-    return place(of.tried);
+    return place(current.tried);
 }
 
-/// Counts a send of a suspected request for as long as it lasts.
-class suspect_at
+/// Counts a suspected request at its server for the lifetime of this object.
+class suspect_guard
 {
 public:
-    suspect_at(exchange& of, backend_server_id server)
-        : shared{of.shared}, server{std::move(server)},
-          counts{of.evidence.crashes > 0}
+    suspect_guard(exchange& current, backend_server_id server)
+        : shared{current.shared}, server{std::move(server)},
+          counts{current.evidence.crashes > 0}
     {
         if (this->counts)
         {
-            this->shared.suspects_at[this->server] += 1;
+            this->shared.suspects_by_server[this->server] += 1;
         }
     }
 
-    ~suspect_at()
+    ~suspect_guard()
     {
-        if (this->counts && --this->shared.suspects_at[this->server] == 0)
+        if (this->counts &&
+            --this->shared.suspects_by_server[this->server] == 0)
         {
-            this->shared.suspects_at.erase(this->server);
+            this->shared.suspects_by_server.erase(this->server);
         }
     }
 
-    suspect_at(suspect_at const&) = delete;
-    suspect_at& operator=(suspect_at const&) = delete;
+    suspect_guard(suspect_guard const&) = delete;
+    suspect_guard& operator=(suspect_guard const&) = delete;
 
 private:
     core& shared;
@@ -78,12 +80,14 @@
     bool counts;
 };
 
-/// A repeat after one that may have arrived takes from the fleet's limit.
-bool repeat_allowed(exchange& of)
+/// A retry counts against the fleet-wide limit only if a server may have
+/// received an earlier send.
+bool retry_allowed(exchange& current)
 {
-    auto& shared = of.shared;
-    return of.arrivals == 0 ||
-           shared.repeats.take(of.work.service, shared.roster.slack_sharers(),
+    auto& shared = current.shared;
+    return current.possible_deliveries == 0 ||
+           shared.retries.take(current.work.service,
+                               shared.roster.retry_sharers(),
                                shared.boot_time.now());
 }
 
@@ -124,12 +128,13 @@
     return "caller_left";
 }
 
-void note_end(exchange& of, fleet::placement const& where, attempt_end end)
+void record_attempt(exchange& current, fleet::placement const& where,
+                    attempt_end end)
 {
-    auto& shared = of.shared;
-    of.attempts.sends += 1;
-    of.attempts.runs += counts_as_run(end) ? 1 : 0;
-    of.tried.push_back(where.server);
+    auto& shared = current.shared;
+    current.attempts.sends += 1;
+    current.attempts.runs += counts_as_run(end) ? 1 : 0;
+    current.tried.push_back(where.server);
     if (end == attempt_end::answered || end == attempt_end::caller_gone)
     {
         return;
@@ -141,103 +146,108 @@
         fleet::note_failure(found->second, false, shared.now.now());
     }
     shared.log.write(log_weight::notable, "attempt",
-                     {{"request", of.facts.id},
+                     {{"request", current.facts.id},
                       {"server", where.server.value},
                       {"outcome", std::string{name_of(end)}},
                       {"expected_ms", std::to_string(where.expected.ms)},
-                      {"sends", std::to_string(of.attempts.sends)}});
+                      {"sends", std::to_string(current.attempts.sends)}});
 }
 
-/// The answer to a request that no attempt answered.
-std::optional<refusal> give_up(exchange& of, attempt_end end)
+/// The rejection for a request that no attempt served. Returns nothing if the
+/// caller has disconnected or has received part of a response.
+std::optional<rejection> give_up(exchange& current, attempt_end end)
 {
-    auto const reason = of.ends_with_process && end == attempt_end::expired
-                            ? "stopping"
-                            : name_of(end);
-    of.reason = reason;
+    auto const reason =
+        current.deadline_from_stop && end == attempt_end::expired
+            ? "stopping"
+            : name_of(end);
+    current.reason = reason;
     if (end == attempt_end::caller_gone)
     {
-        of.keep_connection = false;
+        current.keep_connection = false;
         return std::nullopt;
     }
-    if (of.answer_begun)
+    if (current.response_started)
     {
-        // An answer without its last chunk does not look whole. A reset would
-        // take events with it that the caller has not read yet.
-        of.keep_connection = false;
+        // Without its last chunk the response is visibly incomplete. A reset
+        // could discard events that the caller has not read yet.
+        current.keep_connection = false;
         return std::nullopt;
     }
-    auto const status = fleet::final_status(of.attempts, end);
-    auto const retry = status == http_unavailable
-                           ? std::optional{spread(of, shortest_retry)}
-                           : std::nullopt;
-    return refusal{status, reason, retry};
+    auto const status = fleet::final_status(current.attempts, end);
+    auto const retry_after =
+        status == http_unavailable
+            ? std::optional{with_jitter(current, min_retry_after)}
+            : std::nullopt;
+    return rejection{status, reason, retry_after};
 }
 
 } // namespace
 
-asio::awaitable<std::optional<refusal>> dispatch(exchange& of)
+asio::awaitable<std::optional<rejection>> dispatch(exchange& current)
 {
     auto end = attempt_end::not_reached;
     while (true)
     {
-        auto const now = of.shared.now.now();
-        if (caller_left(of))
+        auto const now = current.shared.now.now();
+        if (caller_disconnected(current))
         {
-            co_return give_up(of, attempt_end::caller_gone);
+            co_return give_up(current, attempt_end::caller_gone);
         }
-        if (now >= of.deadline)
+        if (now >= current.deadline)
         {
-            co_return give_up(of, attempt_end::expired);
+            co_return give_up(current, attempt_end::expired);
         }
-        if (auto const refused = refuse_for_crashes(of))
+        if (auto const rejected = check_crash_evidence(current))
         {
-            co_return of.attempts.sends == 0 ? refused : give_up(of, end);
+            co_return current.attempts.sends == 0 ? rejected
+                                                  : give_up(current, end);
         }
-        note_sent(of);
-        auto const where = choose(of);
+        record_evidence_at_send(current);
+        auto const where = choose_server(current);
         if (!where)
         {
-            if (of.attempts.sends > 0)
+            if (current.attempts.sends > 0)
             {
-                co_return give_up(of, end);
+                co_return give_up(current, end);
             }
-            co_return refusal{http_unavailable, "no_server",
-                              spread(of, no_server_retry)};
+            co_return rejection{http_unavailable, "no_server",
+                                with_jitter(current, no_server_retry_after)};
         }
-        // What cannot begin in time is refused now and not at its end.
-        if (now + where->expected >= of.deadline && of.attempts.sends == 0)
+        // Rejects now what cannot start in time, instead of at its deadline.
+        if (now + where->expected >= current.deadline &&
+            current.attempts.sends == 0)
         {
-            co_return refusal{http_unavailable, "overloaded",
-                              spread(of, shortest_retry)};
+            co_return rejection{http_unavailable, "overloaded",
+                                with_jitter(current, min_retry_after)};
         }
-        if (!repeat_allowed(of))
+        if (!retry_allowed(current))
         {
-            co_return give_up(of, end);
+            co_return give_up(current, end);
         }
-        of.expected = where->expected;
-        of.server = where->server.value;
+        current.expected = where->expected;
+        current.server = where->server.value;
         auto lost_connection = false;
         {
-            suspect_at const counted{of, where->server};
-            server_call call{of, *where};
+            suspect_guard const counted{current, where->server};
+            server_call call{current, *where};
             end = co_await call.run();
             lost_connection = call.lost_connection();
         }
-        note_end(of, *where, end);
+        record_attempt(current, *where, end);
         if (end == attempt_end::answered)
         {
-            note_whole_answer(of);
+            record_complete_response(current);
             co_return std::nullopt;
         }
         if (end == attempt_end::in_doubt && lost_connection)
         {
-            co_await check_for_crash(of, where->server);
+            co_await probe_for_crash(current, where->server);
         }
-        auto const stops = counts_as_run(end) && stops_repeats(of);
-        if (stops || !fleet::may_send_again(of.attempts, end))
+        auto const forbidden = counts_as_run(end) && forbids_retry(current);
+        if (forbidden || !fleet::may_send_again(current.attempts, end))
         {
-            co_return give_up(of, end);
+            co_return give_up(current, end);
         }
     }
 }
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -18,20 +18,22 @@
 namespace
 {
 
-/// The wait for tokens from the store: a draw takes two round trips, and many
-/// times that while many routers draw at once.
-constexpr duration longest_reserve_wait{250};
-/// With the store out of reach nothing can come but what other requests of this
-/// router give back.
-constexpr duration wait_without_store{20};
-/// A spend line opens the share some time after the last row: late for the
-/// caller, and sooner than a retry. What it will not cover by then is known at
+/// A draw takes two round trips to the store, and several times as long while
+/// many routers draw at once.
+constexpr duration max_reserve_wait{250};
+/// While the store is unreachable, only tokens that other requests of this
+/// router release can become available.
+constexpr duration max_wait_without_store{20};
+/// A spend limit makes tokens of the share usable some time after the last row
+/// was written. Waiting for that is slow, but faster than a retry by the
+/// caller. Tokens that it does not cover by then are known to be missing at
 /// once.
-constexpr duration wait_for_line = budget::flat_for + duration{300};
-/// When to ask again while this process does not know the configuration.
-constexpr duration not_ready_retry{500};
-/// Requests without a time limit of the caller's are bounded by their route.
-constexpr duration longest_patience{600'000};
+constexpr duration max_wait_for_spend_limit = budget::flat_for + duration{300};
+/// `Retry-After` while this process does not know the configuration.
+constexpr duration not_ready_retry_after{500};
+/// Upper bound for requests whose caller sets no time limit; the timeout of the
+/// route still applies.
+constexpr duration max_request_timeout{600'000};
 
 std::string_view path_of(caller_request const& request)
 {
@@ -40,274 +42,286 @@
     return text.substr(0, text.find('?'));
 }
 
-duration longest_wait(exchange const& of, token_count amount)
+duration reserve_timeout(exchange const& current, token_count amount)
 {
-    auto& shared = of.shared;
-    if (shared.budgets.opens_within(of.budget, amount, wait_for_line))
+    auto& shared = current.shared;
+    if (shared.budgets.opens_within(current.budget, amount,
+                                    max_wait_for_spend_limit))
     {
-        return wait_for_line;
+        return max_wait_for_spend_limit;
     }
-    auto const may_come = shared.servers.store_reachable ||
-                          shared.budgets.may_be_given(of.budget);
-    return may_come ? longest_reserve_wait : wait_without_store;
+    auto const tokens_may_arrive = shared.servers.store_reachable ||
+                                   shared.budgets.may_be_given(current.budget);
+    return tokens_may_arrive ? max_reserve_wait : max_wait_without_store;
 }
 
-/// Output is counted by whole events, at most what was asked for; an event
-/// holds up to a known number of tokens.
-token_count used_tokens(exchange const& of)
+/// Estimates output tokens from complete events: each holds up to a known
+/// number of tokens. The total is capped at the requested output.
+token_count used_tokens(exchange const& current)
 {
-    if (!of.prompt_read)
+    if (!current.prompt_started)
     {
         return 0;
     }
     auto const per_event = std::max<token_count>(
-        1, of.service != nullptr ? of.service->tokens_per_event : 1);
-    auto const output =
-        std::min(of.work.output_tokens, of.events.events() * per_event);
-    return of.work.prompt_tokens + output;
+        1, current.service != nullptr ? current.service->tokens_per_event : 1);
+    auto const output = std::min(current.work.output_tokens,
+                                 current.events.events() * per_event);
+    return current.work.prompt_tokens + output;
 }
 
-void release_tokens(exchange& of)
+void release_tokens(exchange& current)
 {
-    if (of.reservation.value.empty())
+    if (current.reservation.value.empty())
     {
         return;
     }
-    auto& shared = of.shared;
-    shared.budgets.finish(of.reservation, of.budget, used_tokens(of));
+    auto& shared = current.shared;
+    shared.budgets.finish(current.reservation, current.budget,
+                          used_tokens(current));
     if (shared.returning_since)
     {
         shared.returning_since = shared.now.now();
     }
 }
 
-bool is_whole(exchange const& of)
+bool was_served(exchange const& current)
 {
-    return of.reason == "served" && is_success(of.status);
+    return current.reason == "served" && is_success(current.status);
 }
 
-/// Only whole answers tell how long requests take; one that ended otherwise
-/// would have taken longer, so it counts if it raises the estimate.
-void note_time(exchange& of)
+/// Records the time of complete responses. Other requests would have taken
+/// longer, so they count only if they raise the estimate.
+void record_service_time(exchange& current)
 {
-    if (of.arrivals == 0)
+    if (current.possible_deliveries == 0)
     {
         return;
     }
-    auto& times = of.shared.service_times;
-    auto const now = of.shared.now.now();
-    auto const took = now - of.arrived;
-    auto const usual = times.usual_longest(of.route->name);
-    if (is_whole(of) || (usual && took > *usual))
+    auto& times = current.shared.service_times;
+    auto const now = current.shared.now.now();
+    auto const elapsed = now - current.arrived;
+    auto const usual = times.usual_longest(current.route->name);
+    if (was_served(current) || (usual && elapsed > *usual))
     {
-        times.note(of.route->name, took, now);
+        times.note(current.route->name, elapsed, now);
     }
 }
 
-/// One line a request, with what decided its end.
-void write_line(exchange const& of)
+/// Writes one log line per request, with the facts that decided how it ended.
+void log_request(exchange const& current)
 {
-    auto& shared = of.shared;
-    auto const took = shared.now.now() - of.arrived;
-    shared.metrics.request_ended(of.reason, of.status);
+    auto& shared = current.shared;
+    auto const elapsed = shared.now.now() - current.arrived;
+    shared.metrics.request_ended(current.reason, current.status);
     auto const weight =
-        of.reason == "served" ? log_weight::routine : log_weight::notable;
+        current.reason == "served" ? log_weight::routine : log_weight::notable;
     std::vector<log_field> fields{
-        {"request", of.facts.id},
-        {"reason", std::string{of.reason}},
-        {"status", std::to_string(of.status)},
-        {"route", of.route != nullptr ? of.route->name : ""},
-        {"config", of.site ? std::to_string(of.site->version()) : "none"},
-        {"ms", std::to_string(took.ms)},
-        {"sends", std::to_string(of.attempts.sends)},
-        {"server", of.server}};
-    if (of.customer != nullptr)
+        {"request", current.facts.id},
+        {"reason", std::string{current.reason}},
+        {"status", std::to_string(current.status)},
+        {"route", current.route != nullptr ? current.route->name : ""},
+        {"config",
+         current.site ? std::to_string(current.site->version()) : "none"},
+        {"ms", std::to_string(elapsed.ms)},
+        {"sends", std::to_string(current.attempts.sends)},
+        {"server", current.server}};
+    if (current.customer != nullptr)
     {
-        fields.push_back({"customer", of.customer->id.value});
+        fields.push_back({"customer", current.customer->id.value});
     }
-    if (of.work.prompt_tokens > 0)
+    if (current.work.prompt_tokens > 0)
     {
-        fields.push_back({"tokens", std::to_string(of.work.prompt_tokens)});
-        fields.push_back({"used", std::to_string(used_tokens(of))});
-        fields.push_back({"events", std::to_string(of.events.events())});
-        fields.push_back({"budget_ms", std::to_string(of.reserve_wait.ms)});
-        fields.push_back({"expected_ms", std::to_string(of.expected.ms)});
+        fields.push_back(
+            {"tokens", std::to_string(current.work.prompt_tokens)});
+        fields.push_back({"used", std::to_string(used_tokens(current))});
+        fields.push_back({"events", std::to_string(current.events.events())});
+        fields.push_back(
+            {"budget_ms", std::to_string(current.reserve_wait.ms)});
+        fields.push_back({"expected_ms", std::to_string(current.expected.ms)});
     }
-    if (of.first_part)
+    if (current.first_part)
     {
-        fields.push_back({"first_ms", std::to_string(of.first_part->ms)});
+        fields.push_back({"first_ms", std::to_string(current.first_part->ms)});
     }
-    if (of.reason.starts_with("budget"))
+    if (current.reason.starts_with("budget"))
     {
-        for (auto& field : shared.budgets.describe(of.budget))
+        for (auto& field : shared.budgets.describe(current.budget))
         {
             fields.push_back(std::move(field));
         }
     }
-    add_stopping(fields, of);
+    add_stopping_field(fields, current);
     shared.log.write(weight, "request", fields);
 }
 
 } // namespace
 
-void send_refusal(exchange& of, refusal const& why)
+void send_rejection(exchange& current, rejection const& why)
 {
-    of.status = why.status;
-    of.reason = why.reason;
-    if (caller_left(of))
+    current.status = why.status;
+    current.reason = why.reason;
+    if (caller_disconnected(current))
     {
         return;
     }
     http::response<http::empty_body> head{static_cast<http::status>(why.status),
                                           11};
-    of.shared.names.prepare_refusal(head, of.facts.id, why.retry_after);
+    current.shared.adapter.prepare_refusal(head, current.facts.id,
+                                           why.retry_after);
     head.set(http::field::content_length, "0");
-    of.keep_connection = of.keep_connection && !of.shared.stop;
-    if (!of.keep_connection)
+    current.keep_connection = current.keep_connection && !current.shared.stop;
+    if (!current.keep_connection)
     {
         head.set(http::field::connection, "close");
     }
-    of.caller->send(head_text(head));
+    current.caller->send(head_text(head));
 }
 
-bool needs_tokens(exchange const& of)
+bool needs_tokens(exchange const& current)
 {
-    return of.customer != nullptr && of.customer->paid &&
-           of.work.prompt_tokens + of.work.output_tokens > 0;
+    return current.customer != nullptr && current.customer->paid &&
+           current.work.prompt_tokens + current.work.output_tokens > 0;
 }
 
-bool caller_left(exchange const& of)
+bool caller_disconnected(exchange const& current)
 {
-    return of.caller->end() != peer_end::open;
+    return current.caller->end() != peer_end::open;
 }
 
-asio::awaitable<bool> sleep(exchange& of, instant until)
+asio::awaitable<bool> wait_until(exchange& current, instant until)
 {
-    auto const left = until - of.shared.now.now();
+    auto const left = until - current.shared.now.now();
     auto const point =
         std::chrono::steady_clock::now() + std::chrono::milliseconds{left.ms};
-    co_return co_await of.sleeper->wait(point);
+    co_return co_await current.wakeup->wait(point);
 }
 
-asio::awaitable<std::optional<refusal>> find_route(exchange& of)
+asio::awaitable<std::optional<rejection>> find_route(exchange& current)
 {
-    of.site = of.shared.site;
-    if (!of.site || !of.shared.servers_listed)
+    current.site = current.shared.site;
+    if (!current.site || !current.shared.servers_listed)
     {
-        co_return refusal{http_unavailable, "not_ready", not_ready_retry};
+        co_return rejection{http_unavailable, "not_ready",
+                            not_ready_retry_after};
     }
-    auto const host = of.request[http::field::host];
-    of.route =
-        of.site->find_route({host.data(), host.size()}, path_of(of.request));
-    if (of.route == nullptr)
+    auto const host = current.request[http::field::host];
+    current.route = current.site->find_route({host.data(), host.size()},
+                                             path_of(current.request));
+    if (current.route == nullptr)
     {
-        co_return refusal{http_not_found, "no_route"};
+        co_return rejection{http_not_found, "no_route"};
     }
     co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<refusal>> identify(exchange& of)
+asio::awaitable<std::optional<rejection>> identify(exchange& current)
 {
-    of.customer = of.site->find_customer(of.facts.key);
-    if (of.customer == nullptr && of.route->needs_key)
+    current.customer = current.site->find_customer(current.facts.key);
+    if (current.customer == nullptr && current.route->needs_key)
     {
-        co_return refusal{http_unauthorized, "unknown_key"};
+        co_return rejection{http_unauthorized, "unknown_key"};
     }
     co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<refusal>> measure(exchange& of)
+asio::awaitable<std::optional<rejection>> measure(exchange& current)
 {
-    auto const& route = *of.route;
-    auto const draw = fleet::stable_hash(of.facts.id);
-    auto const& name = fleet::choose_service(route, draw);
-    of.service = of.site->find_service(name);
-    if (of.service == nullptr)
+    auto const& route = *current.route;
+    auto const hash = fleet::stable_hash(current.facts.id);
+    auto const& name = fleet::choose_service(route, hash);
+    current.service = current.site->find_service(name);
+    if (current.service == nullptr)
     {
-        co_return refusal{http_unavailable, "unknown_service", not_ready_retry};
+        co_return rejection{http_unavailable, "unknown_service",
+                            not_ready_retry_after};
     }
-    of.work.service = name;
+    current.work.service = name;
     if (route.has_prompt)
     {
-        of.work.shared_part = of.facts.shared_part;
-        of.work.shared_tokens = of.facts.shared_tokens;
-        of.work.prompt_tokens = of.facts.prompt_tokens;
-        of.work.output_tokens = of.facts.output_tokens;
+        current.work.shared_part = current.facts.shared_part;
+        current.work.shared_tokens = current.facts.shared_tokens;
+        current.work.prompt_tokens = current.facts.prompt_tokens;
+        current.work.output_tokens = current.facts.output_tokens;
     }
-    auto const patience =
-        std::min(of.facts.patience.value_or(longest_patience), route.timeout);
-    of.deadline = of.arrived + patience;
-    of.attempts.kind = route.kind;
-    of.attempts.resumable = route.resumable;
-    of.attempts.max_servers = route.max_servers;
-    of.shared.repeats.note_request(name, of.shared.boot_time.now());
+    auto const timeout = std::min(
+        current.facts.patience.value_or(max_request_timeout), route.timeout);
+    current.deadline = current.arrived + timeout;
+    current.attempts.kind = route.kind;
+    current.attempts.resumable = route.resumable;
+    current.attempts.max_servers = route.max_servers;
+    current.shared.retries.note_request(name, current.shared.boot_time.now());
     co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<refusal>> quarantine(exchange& of)
+asio::awaitable<std::optional<rejection>> quarantine(exchange& current)
 {
-    co_return refuse_for_crashes(of);
+    co_return check_crash_evidence(current);
 }
 
-asio::awaitable<std::optional<refusal>> reserve(exchange& of)
+asio::awaitable<std::optional<rejection>> reserve(exchange& current)
 {
-    if (!needs_tokens(of))
+    if (!needs_tokens(current))
     {
         co_return std::nullopt;
     }
-    auto const amount = of.work.prompt_tokens + of.work.output_tokens;
-    auto& shared = of.shared;
+    auto const amount = current.work.prompt_tokens + current.work.output_tokens;
+    auto& shared = current.shared;
     auto const began = shared.now.now();
-    shared.requests += 1;
-    request_id const id{std::to_string(shared.requests)};
-    of.budget = {of.customer->id.value};
+    shared.reservations += 1;
+    request_id const id{std::to_string(shared.reservations)};
+    current.budget = {current.customer->id.value};
     auto const reply = std::make_shared<std::optional<budget::reserve_reply>>();
-    auto const wait = std::min(longest_wait(of, amount), of.deadline - began);
+    auto const wait =
+        std::min(reserve_timeout(current, amount), current.deadline - began);
     shared.budgets.reserve(
-        id, of.budget, amount, wait,
-        [reply, sleeper = of.sleeper](budget::reserve_reply const& decided)
+        id, current.budget, amount, wait,
+        [reply, wakeup = current.wakeup](budget::reserve_reply const& decided)
         {
             *reply = decided;
-            sleeper->raise();
+            wakeup->raise();
         });
-    auto const is_over = [&of, &shared]
+    auto const is_over = [&current, &shared]
     {
-        return of.ends_with_process && shared.now.now() >= of.deadline;
+        return current.deadline_from_stop &&
+               shared.now.now() >= current.deadline;
     };
-    while (!*reply && !caller_left(of) && !is_over())
+    while (!*reply && !caller_disconnected(current) && !is_over())
     {
         auto const until = began + wait + duration{100};
-        static_cast<void>(co_await sleep(
-            of, of.ends_with_process ? std::min(until, of.deadline) : until));
+        static_cast<void>(
+            co_await wait_until(current, current.deadline_from_stop
+                                             ? std::min(until, current.deadline)
+                                             : until));
     }
-    of.reserve_wait = shared.now.now() - began;
-    shared.metrics.reserve_wait(of.reserve_wait.ms);
+    current.reserve_wait = shared.now.now() - began;
+    shared.metrics.reserve_wait(current.reserve_wait.ms);
     if (!*reply)
     {
-        shared.budgets.cancel(id, of.budget);
-        co_return caller_left(of)
-            ? refusal{http_unavailable, "caller_left"}
-            : refusal{http_unavailable, "stopping", elsewhere_retry};
+        shared.budgets.cancel(id, current.budget);
+        co_return caller_disconnected(current)
+            ? rejection{http_unavailable, "caller_left"}
+            : rejection{http_unavailable, "stopping", stopping_retry_after};
     }
     switch ((*reply)->verdict)
     {
     case budget::reserve_verdict::admitted:
-        of.reservation = id;
+        current.reservation = id;
         co_return std::nullopt;
     case budget::reserve_verdict::exhausted:
-        // Tokens that other routers hold may come back; without any the
-        // budget is used up for good.
+        // Other routers may return tokens that they hold. If they hold none,
+        // the budget is exhausted for good.
         if ((*reply)->retry_after > duration{0})
         {
-            co_return refusal{http_too_many, "budget_low",
-                              (*reply)->retry_after};
+            co_return rejection{http_too_many, "budget_low",
+                                (*reply)->retry_after};
         }
-        co_return refusal{http_payment_required, "budget_used_up"};
+        co_return rejection{http_payment_required, "budget_used_up"};
     case budget::reserve_verdict::undecidable:
         break;
     }
-    co_return refusal{http_unavailable, "budget_unknown",
-                      (*reply)->retry_after};
+    co_return rejection{http_unavailable, "budget_unknown",
+                        (*reply)->retry_after};
 }
 
 std::array<named_filter, 7> const& request_filters()
@@ -323,29 +337,29 @@
     return all;
 }
 
-asio::awaitable<void> serve(exchange& of)
+asio::awaitable<void> serve(exchange& current)
 {
-    of.shared.open_requests.insert(&of);
-    note_stopping(of);
+    current.shared.open_requests.insert(&current);
+    record_stopping(current);
     for (auto const& filter : request_filters())
     {
-        of.step = filter.name;
-        auto const refused = co_await filter.run(of);
-        if (refused)
+        current.step = filter.name;
+        auto const rejected = co_await filter.run(current);
+        if (rejected)
         {
-            send_refusal(of, *refused);
+            send_rejection(current, *rejected);
             break;
         }
     }
-    if (of.was_at_crash)
+    if (current.server_crashed)
     {
-        of.shared.crashes.left_unanswered(*of.fingerprint);
+        current.shared.crashes.record_unanswered(*current.fingerprint);
     }
-    end_probation(of);
-    release_tokens(of);
-    note_time(of);
-    write_line(of);
-    of.shared.open_requests.erase(&of);
+    end_probation(current);
+    release_tokens(current);
+    record_service_time(current);
+    log_request(current);
+    current.shared.open_requests.erase(&current);
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -25,67 +25,69 @@
 
 using caller_request = http::request<http::string_body>;
 
-/// When to come back to whom a stopping process refuses: other routers can be
-/// asked at once.
-inline constexpr duration elsewhere_retry{50};
+/// `Retry-After` of requests that a stopping process rejects: another router
+/// can take them at once.
+inline constexpr duration stopping_retry_after{50};
 
-/// An answer of the gateway's own.
-struct refusal
+/// A response by the gateway itself instead of a server.
+struct rejection
 {
     int status{};
-    std::string_view reason; ///< one word, for logs and metrics
+    std::string_view reason; ///< a single word, for logs and metrics
     std::optional<duration> retry_after{};
 
-    friend bool operator==(refusal const&, refusal const&) = default;
+    friend bool operator==(rejection const&, rejection const&) = default;
 };
 
-/// One request on its way: what the filters found out, and what is left to be
-/// undone when it ends. Loop thread only.
+/// The state of one request: what the filters found out, and the resources to
+/// release when it ends. Loop thread only.
 struct exchange
 {
-    exchange(core& shared, connection_ptr caller, waker_ptr sleeper,
+    exchange(core& shared, connection_ptr caller, waker_ptr wakeup,
              caller_request request)
-        : shared{shared}, caller{std::move(caller)},
-          sleeper{std::move(sleeper)}, request{std::move(request)}
+        : shared{shared}, caller{std::move(caller)}, wakeup{std::move(wakeup)},
+          request{std::move(request)}
     {
     }
 
     core& shared;
     connection_ptr caller;
-    waker_ptr sleeper;
+    waker_ptr wakeup;
     caller_request request;
     request_facts facts;
     instant arrived;
 
-    std::shared_ptr<fleet::site const> site; ///< the version that decided
+    std::shared_ptr<fleet::site const>
+        site; ///< the configuration used for this request
     fleet::route const* route{};
     fleet::customer const* customer{};
     fleet::service const* service{};
     fleet::work work;
     instant deadline{};
-    bool ends_with_process{false}; ///< `deadline` is that of a planned stop
+    bool deadline_from_stop{false}; ///< a planned stop set `deadline`
 
-    request_id reservation; ///< empty if no tokens are set aside
+    request_id reservation; ///< empty if no tokens are reserved
     budget_id budget;
 
     fleet::attempt_state attempts;
     std::vector<backend_server_id> tried;
-    /// Set once it is needed; see `crash_step.hpp`.
+    /// Computed on first use; see `crash_step.hpp`.
     std::optional<fleet::fingerprint> fingerprint;
-    fleet::crash_evidence evidence; ///< known when it was sent last
-    bool on_probation{false};       ///< the only attempt of its request here
-    bool was_at_crash{false};
-    std::int64_t arrivals{}; ///< sends that may have reached a server
+    fleet::crash_evidence evidence; ///< as known at the latest send
+    bool on_probation{false}; ///< holds the probation slot of its fingerprint
+    bool server_crashed{false};
+    std::int64_t
+        possible_deliveries{}; ///< sends that a server may have received
     fleet::event_scan events;
-    bool answer_begun{false};
-    duration reserve_wait{}; ///< for tokens of the budget
-    bool prompt_read{false}; ///< a server began to run it
+    bool response_started{false};
+    duration reserve_wait{};    ///< time spent on reserving tokens
+    bool prompt_started{false}; ///< a server began to process the prompt
     bool keep_connection{true};
-    std::string_view step{"read"}; ///< what it is doing now
-    /// How long the process had been stopping when it took the request.
+    std::string_view step{"read"}; ///< the current pipeline stage, for the log
+    /// How long the process had been stopping when the request arrived.
     std::optional<duration> stopping_for{};
 
-    // For the log line at the end.
+    // For the log line at the end of the request.
     int status{};
     std::string_view reason{"served"};
     std::string server;
@@ -93,29 +95,30 @@
     std::optional<duration> first_part;
 };
 
-/// Sends the gateway's own answer to the caller.
-void send_refusal(exchange& of, refusal const& why);
+/// Sends `why` to the caller, unless it has disconnected, and records its
+/// status and reason.
+void send_rejection(exchange& current, rejection const& why);
 
-/// True when the request needs tokens of a budget.
-bool needs_tokens(exchange const& of);
+/// True if the request needs tokens of a budget.
+bool needs_tokens(exchange const& current);
 
-/// True when the caller has closed its connection.
-bool caller_left(exchange const& of);
+/// True if the caller has closed its connection.
+bool caller_disconnected(exchange const& current);
 
-/// Sleeps until something happened to the request, or `until`. Returns false
-/// when that time has come.
-asio::awaitable<bool> sleep(exchange& of, instant until);
+/// Suspends until the waker of the request is raised. Returns false if `until`
+/// passed first.
+asio::awaitable<bool> wait_until(exchange& current, instant until);
 
-/// A step of a request. Returns the refusal that ends it, or nothing.
-using filter = asio::awaitable<std::optional<refusal>> (*)(exchange&);
+/// A pipeline stage. Returns the rejection that ends the request, or nothing.
+using filter = asio::awaitable<std::optional<rejection>> (*)(exchange&);
 
-asio::awaitable<std::optional<refusal>> find_route(exchange& of);
-asio::awaitable<std::optional<refusal>> identify(exchange& of);
-asio::awaitable<std::optional<refusal>> measure(exchange& of);
-asio::awaitable<std::optional<refusal>> admit(exchange& of);
-asio::awaitable<std::optional<refusal>> quarantine(exchange& of);
-asio::awaitable<std::optional<refusal>> reserve(exchange& of);
-asio::awaitable<std::optional<refusal>> dispatch(exchange& of);
+asio::awaitable<std::optional<rejection>> find_route(exchange& current);
+asio::awaitable<std::optional<rejection>> identify(exchange& current);
+asio::awaitable<std::optional<rejection>> measure(exchange& current);
+asio::awaitable<std::optional<rejection>> admit(exchange& current);
+asio::awaitable<std::optional<rejection>> quarantine(exchange& current);
+asio::awaitable<std::optional<rejection>> reserve(exchange& current);
+asio::awaitable<std::optional<rejection>> dispatch(exchange& current);
 
 struct named_filter
 {
@@ -123,27 +126,29 @@
     filter run;
 };
 
-/// The filters in their order.
+/// The filters in the order in which they run.
 std::array<named_filter, 7> const& request_filters();
 
-/// Runs the filters, sends what they refuse, gives back what is left of the
-/// reservation and writes the request's log line.
-asio::awaitable<void> serve(exchange& of);
+/// Runs the filters, sends a rejection if one returns it, releases what is left
+/// of the reservation and writes the log line of the request.
+asio::awaitable<void> serve(exchange& current);
 
-/// Notes that a stopping process took the request.
-void note_stopping(exchange& of);
+/// Records for how long the process had been stopping when the request arrived.
+/// No effect if it is not stopping.
+void record_stopping(exchange& current);
 
-/// Adds how long the process had been stopping when it took the request.
-void add_stopping(std::vector<log_field>& fields, exchange const& of);
+/// Adds the field `stopping_ms` if the request arrived during a stop.
+void add_stopping_field(std::vector<log_field>& fields,
+                        exchange const& current);
 
-/// Ends the request in time for the process to answer it. @pre The process is
-/// stopping.
-void bound_by_stop(exchange& of);
+/// Limits the deadline so that the process can respond before it exits. @pre
+/// The process is stopping.
+void limit_deadline_to_stop(exchange& current);
 
-/// As above, for a process that ends now.
-void end_overdue(exchange& of);
+/// Moves the deadline to now, for a process that is about to exit.
+void expire_deadline(exchange& current);
 
-/// Logs the requests that a process leaves without an answer when it ends.
+/// Logs the requests that are still open when the process exits.
 void log_open_requests(core& shared);
 
 } // namespace caperpath::gateway
--- a/src/gateway/exchange_stop.cpp
+++ b/src/gateway/exchange_stop.cpp
@@ -5,91 +5,97 @@
 #include <algorithm>
 #include <string>
 
-/// What a planned stop means for requests.
+/// How a planned stop affects requests.
 namespace caperpath::gateway
 {
 
 namespace
 {
 
-/// Lines about requests without an answer at the process's end.
-constexpr std::size_t most_open_told = 50;
+/// Limits the log lines about requests that are still open when the process
+/// exits.
+constexpr std::size_t max_unanswered_lines = 50;
 
 } // namespace
 
-void note_stopping(exchange& of)
+void record_stopping(exchange& current)
 {
-    auto& shared = of.shared;
+    auto& shared = current.shared;
     if (shared.stop)
     {
-        of.stopping_for = shared.now.now() - shared.stop->began;
+        current.stopping_for = shared.now.now() - shared.stop->began;
         shared.taken_while_stopping += 1;
     }
 }
 
-void add_stopping(std::vector<log_field>& fields, exchange const& of)
+void add_stopping_field(std::vector<log_field>& fields, exchange const& current)
 {
-    if (of.stopping_for)
+    if (current.stopping_for)
     {
-        fields.push_back({"stopping_ms", std::to_string(of.stopping_for->ms)});
+        fields.push_back(
+            {"stopping_ms", std::to_string(current.stopping_for->ms)});
     }
 }
 
-/// A stopping process begins only what it can be expected to finish. Whoever
-/// is refused comes back over a new connection, to another router.
-asio::awaitable<std::optional<refusal>> admit(exchange& of)
+/// A stopping process accepts only requests that it is expected to finish. A
+/// rejected caller retries over a new connection, which the balancer sends to
+/// another router.
+asio::awaitable<std::optional<rejection>> admit(exchange& current)
 {
-    auto const& stop = of.shared.stop;
+    auto const& stop = current.shared.stop;
     if (!stop)
     {
         co_return std::nullopt;
     }
-    auto const now = of.shared.now.now();
-    auto const expected = of.shared.service_times.usual_longest(of.route->name);
-    auto const lacks_tokens = of.shared.returning_since && needs_tokens(of);
-    if (lacks_tokens || !fleet::may_begin(*stop, now, expected, of.deadline))
+    auto const now = current.shared.now.now();
+    auto const expected =
+        current.shared.service_times.usual_longest(current.route->name);
+    auto const lacks_tokens =
+        current.shared.returning_since && needs_tokens(current);
+    if (lacks_tokens ||
+        !fleet::may_begin(*stop, now, expected, current.deadline))
     {
-        co_return refusal{http_unavailable, "stopping", elsewhere_retry};
+        co_return rejection{http_unavailable, "stopping", stopping_retry_after};
     }
-    bound_by_stop(of);
+    limit_deadline_to_stop(current);
     co_return std::nullopt;
 }
 
-void bound_by_stop(exchange& of)
+void limit_deadline_to_stop(exchange& current)
 {
-    auto const due = of.shared.stop->answers_due;
-    if (of.deadline > due)
+    auto const due = current.shared.stop->answers_due;
+    if (current.deadline > due)
     {
-        of.deadline = due;
-        of.ends_with_process = true;
+        current.deadline = due;
+        current.deadline_from_stop = true;
     }
 }
 
-void end_overdue(exchange& of)
+void expire_deadline(exchange& current)
 {
-    of.deadline = std::min(of.deadline, of.shared.now.now());
-    of.ends_with_process = true;
+    current.deadline = std::min(current.deadline, current.shared.now.now());
+    current.deadline_from_stop = true;
 }
 
 void log_open_requests(core& shared)
 {
-    std::size_t told = 0;
-    for (auto const* const of : shared.open_requests)
+    std::size_t logged = 0;
+    for (auto const* const current : shared.open_requests)
     {
-        told += 1;
-        if (told > most_open_told)
+        logged += 1;
+        if (logged > max_unanswered_lines)
         {
             return;
         }
-        auto const age = shared.now.now() - of->arrived;
+        auto const age = shared.now.now() - current->arrived;
         std::vector<log_field> fields{
-            {"request", of->facts.id},
-            {"at", std::string{of->step}},
-            {"route", of->route != nullptr ? of->route->name : ""},
+            {"request", current->facts.id},
+            {"at", std::string{current->step}},
+            {"route", current->route != nullptr ? current->route->name : ""},
             {"ms", std::to_string(age.ms)},
-            {"sends", std::to_string(of->arrivals)},
-            {"server", of->server}};
-        add_stopping(fields, *of);
+            {"sends", std::to_string(current->possible_deliveries)},
+            {"server", current->server}};
+        add_stopping_field(fields, *current);
         shared.log.write(log_weight::notable, "unanswered", fields);
     }
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -28,22 +28,22 @@
 namespace
 {
 
-constexpr duration tick_time{100};
-constexpr duration repeats_told_every{2'000};
-/// The process ends meanwhile; it must not be killed over its log.
-constexpr duration longest_log_wait{100};
+constexpr duration tick_interval{100};
+constexpr duration retry_report_interval{2'000};
+/// Kept short, so that the process is not killed while it writes its log.
+constexpr duration max_log_wait{100};
 constexpr std::chrono::seconds page_timeout{5};
 constexpr int backlog = 1'024;
-/// The answers only have to be handed to the kernel.
-constexpr duration longest_overdue{50};
+/// The responses only have to be handed to the kernel.
+constexpr duration overdue_run_time{50};
 
 } // namespace
 
 gateway_server::gateway_server(asio::io_context& loop, settings const& settings,
-                               dialect names, store::async_port const& store,
+                               dialect adapter, store::async_port const& store,
                                incarnation_id incarnation, int log_descriptor)
     : loop{loop}, shared{loop.get_executor(),    settings,
-                         std::move(names),       store,
+                         std::move(adapter),     store,
                          std::move(incarnation), log_descriptor},
       callers{loop}, readiness{loop}, metrics{loop}, timer{loop}
 {
@@ -85,8 +85,8 @@
         [this](std::string const& from, std::string const& bytes)
         { this->shared.budgets.receive(from, bytes); });
     this->accept_callers();
-    this->accept_pages(this->readiness);
-    this->accept_pages(this->metrics);
+    this->accept_page_clients(this->readiness);
+    this->accept_page_clients(this->metrics);
     this->shared.budgets.start();
     this->sites->start();
     this->servers->start();
@@ -126,8 +126,9 @@
         });
 }
 
-/// Without a pause a process out of descriptors would try to accept in a loop
-/// that leaves no time for the requests whose end would free some.
+/// Pauses after an error. Otherwise a process without free descriptors would
+/// retry in a busy loop, and requests whose end would free descriptors would
+/// not proceed.
 void gateway_server::accept_after(boost::system::error_code fault,
                                   std::function<void()> accept)
 {
@@ -139,11 +140,11 @@
     this->shared.log.fault({error_kind::unavailable, "accept",
                             this->shared.settings.callers, fault.message()});
     auto const pause = std::make_shared<asio::steady_timer>(this->loop);
-    call_after(*pause, tick_time,
+    call_after(*pause, tick_interval,
                [pause, accept = std::move(accept)] { accept(); });
 }
 
-void gateway_server::accept_pages(tcp::acceptor& acceptor)
+void gateway_server::accept_page_clients(tcp::acceptor& acceptor)
 {
     acceptor.async_accept(
         [this, &acceptor](boost::system::error_code fault, tcp::socket socket)
@@ -158,11 +159,11 @@
                                asio::detached);
             }
             this->accept_after(fault, [this, &acceptor]
-                               { this->accept_pages(acceptor); });
+                               { this->accept_page_clients(acceptor); });
         });
 }
 
-/// The balancer's question whether to send callers here, and the metrics.
+/// Serves the readiness check of the balancer and the metrics page.
 asio::awaitable<void> gateway_server::serve_page(tcp::socket socket)
 {
     auto const is_metrics =
@@ -170,8 +171,8 @@
     boost::beast::tcp_stream stream{std::move(socket)};
     boost::beast::flat_buffer buffer;
     boost::system::error_code fault;
-    auto going_on = true;
-    while (going_on)
+    auto keep_open = true;
+    while (keep_open)
     {
         http::request<http::string_body> request;
         stream.expires_after(page_timeout);
@@ -195,7 +196,7 @@
         answer.prepare_payload();
         co_await http::async_write(
             stream, answer, asio::redirect_error(asio::use_awaitable, fault));
-        going_on = !fault && answer.keep_alive();
+        keep_open = !fault && answer.keep_alive();
     }
 }
 bool gateway_server::ready() const
@@ -206,10 +207,10 @@
     }
     auto const& shared = this->shared;
     auto const now = shared.now.now();
-    return !fleet::sheds_callers(shared.link, now) &&
+    return !fleet::sheds_callers(shared.uplink, now) &&
            fleet::may_take_callers(
                {shared.budgets.knows_a_budget(), shared.budgets.ready(),
-                shared.crashes.has_read(), shared.servers.store_reachable,
+                shared.crashes.has_read_rows(), shared.servers.store_reachable,
                 now - this->site_known_at});
 }
 
@@ -220,12 +221,12 @@
     {
         return;
     }
-    auto const came =
-        fleet::signal_time(this->tick_before_last, shared.now.now(), tick_time);
-    shared.stop = fleet::schedule_shutdown(came, shared.settings.grace);
+    auto const signalled_at = fleet::signal_time(
+        this->tick_before_last, shared.now.now(), tick_interval);
+    shared.stop = fleet::schedule_shutdown(signalled_at, shared.settings.grace);
     for (auto* const open : shared.open_requests)
     {
-        bound_by_stop(*open);
+        limit_deadline_to_stop(*open);
     }
     this->wake_sessions();
     this->log_stop("stop");
@@ -233,8 +234,9 @@
 
 void gateway_server::reload()
 {
-    this->shared.log.write(log_weight::notable, "reload",
-                           {{"outcome", "settings count from the next start"}});
+    this->shared.log.write(
+        log_weight::notable, "reload",
+        {{"outcome", "new settings take effect at the next start"}});
 }
 
 void gateway_server::answer_overdue()
@@ -245,18 +247,18 @@
     }
     for (auto* const open : this->shared.open_requests)
     {
-        end_overdue(*open);
+        expire_deadline(*open);
     }
     this->wake_sessions();
     this->loop.restart();
-    this->loop.run_for(to_chrono(longest_overdue));
+    this->loop.run_for(to_chrono(overdue_run_time));
 }
 
 void gateway_server::flush_log()
 {
     log_open_requests(this->shared);
     this->log_stop("end");
-    this->shared.log.finish(longest_log_wait);
+    this->shared.log.finish(max_log_wait);
 }
 
 void gateway_server::log_stop(std::string_view step)
@@ -298,32 +300,33 @@
 
 void gateway_server::wake_sessions()
 {
-    for (auto* const sleeper : this->shared.sessions)
+    for (auto* const wakeup : this->shared.sessions)
     {
-        sleeper->raise();
+        wakeup->raise();
     }
 }
 
-void gateway_server::tell_repeats()
+void gateway_server::report_retries()
 {
     auto const now = this->shared.boot_time.now();
-    auto const sharers = this->shared.roster.slack_sharers();
-    auto const changed = sharers != this->told_sharers;
-    if (!changed && now - this->repeats_told_at < repeats_told_every)
+    auto const sharers = this->shared.roster.retry_sharers();
+    auto const changed = sharers != this->reported_sharers;
+    if (!changed && now - this->retries_reported_at < retry_report_interval)
     {
         return;
     }
-    this->repeats_told_at = now;
+    this->retries_reported_at = now;
     if (changed)
     {
-        auto const view_age = this->shared.roster.view_age();
-        this->shared.log.write(log_weight::notable, "repeat_limit",
-                               {{"sharers", std::to_string(sharers)},
-                                {"before", std::to_string(this->told_sharers)},
-                                {"view_age_ms", std::to_string(view_age.ms)}});
-        this->told_sharers = sharers;
+        auto const read_age = this->shared.roster.read_age();
+        this->shared.log.write(
+            log_weight::notable, "repeat_limit",
+            {{"sharers", std::to_string(sharers)},
+             {"before", std::to_string(this->reported_sharers)},
+             {"view_age_ms", std::to_string(read_age.ms)}});
+        this->reported_sharers = sharers;
     }
-    for (auto const& use : this->shared.repeats.report(now))
+    for (auto const& use : this->shared.retries.report(now))
     {
         this->shared.log.write(log_weight::notable, "repeats",
                                {{"service", use.service.value},
@@ -341,25 +344,26 @@
     this->shared.pool.sweep();
     for (auto const& id : fleet::sweep_servers(this->shared.servers, now))
     {
-        this->shared.pool.forget(id);
+        this->shared.pool.drop(id);
         this->shared.prompts.forget(id);
     }
-    this->tell_repeats();
-    this->shared.link = fleet::looked_at(this->shared.link, now);
+    this->report_retries();
+    this->shared.uplink = fleet::looked_at(this->shared.uplink, now);
     this->shared.budgets.note_routers(this->shared.roster.alive_vms());
-    if (this->shared.roster.reads() != this->peers_read)
+    if (this->shared.roster.completed_reads() != this->membership_reads)
     {
-        this->peers_read = this->shared.roster.reads();
+        this->membership_reads = this->shared.roster.completed_reads();
         this->shared.budgets.note_peers(this->shared.roster.live_routers());
     }
     this->shared.metrics.lines_dropped(this->shared.log.dropped());
     if (this->ready() != this->was_ready)
     {
         this->was_ready = this->ready();
-        auto const sheds = fleet::sheds_callers(this->shared.link, now);
+        auto const link_failing =
+            fleet::sheds_callers(this->shared.uplink, now);
         this->shared.log.write(log_weight::notable, "readiness",
                                {{"ready", this->was_ready ? "yes" : "no"},
-                                {"link_failing", sheds ? "yes" : "no"}});
+                                {"link_failing", link_failing ? "yes" : "no"}});
     }
     auto const& stop = this->shared.stop;
     if (stop && !this->shared.returning_since && now >= stop->out_of_rotation)
@@ -367,9 +371,9 @@
         this->shared.returning_since = now;
         this->wake_sessions();
         this->shared.budgets.close();
-        this->shared.roster.leave();
+        this->shared.roster.remove_own_row();
     }
-    call_after(this->timer, tick_time, [this] { this->tick(); });
+    call_after(this->timer, tick_interval, [this] { this->tick(); });
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -20,7 +20,7 @@
 
 constexpr double ms_per_second = 1'000.0;
 
-/// Seconds, dense where the users' goals for the first part lie.
+/// Seconds; finer around the latency targets for the first part.
 prometheus::Histogram::BucketBoundaries const answer_buckets{
     0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.45, 0.6, 1, 1.5, 2.5, 5, 10};
 /// Seconds; a draw from the store takes about 0.02.
@@ -64,9 +64,9 @@
     prometheus::Histogram& reserve{
         this->times.Add({{"step", "reserve"}}, wait_buckets)};
     prometheus::Counter& first_sends{this->sends.Add({{"repeat", "no"}})};
-    prometheus::Counter& repeats{this->sends.Add({{"repeat", "yes"}})};
+    prometheus::Counter& retries{this->sends.Add({{"repeat", "yes"}})};
     prometheus::Counter& reached{this->calls.Add({{"result", "answered"}})};
-    prometheus::Counter& missed{this->calls.Add({{"result", "failed"}})};
+    prometheus::Counter& failed{this->calls.Add({{"result", "failed"}})};
     prometheus::Gauge& version{
         this->gauges.Add({{"name", "configuration_version"}})};
     prometheus::Gauge& servers{this->gauges.Add({{"name", "servers_listed"}})};
@@ -103,9 +103,9 @@
     this->self->reserve.Observe(static_cast<double>(ms) / ms_per_second);
 }
 
-void gateway_metrics::sent(bool repeat)
+void gateway_metrics::sent(bool retry)
 {
-    (repeat ? this->self->repeats : this->self->first_sends).Increment();
+    (retry ? this->self->retries : this->self->first_sends).Increment();
 }
 
 void gateway_metrics::site_version(std::uint64_t version)
@@ -120,7 +120,7 @@
 
 void gateway_metrics::store_call(bool reached)
 {
-    (reached ? this->self->reached : this->self->missed).Increment();
+    (reached ? this->self->reached : this->self->failed).Increment();
 }
 
 void gateway_metrics::lines_dropped(std::uint64_t total)
--- a/src/gateway/gateway_metrics.hpp
+++ b/src/gateway/gateway_metrics.hpp
@@ -9,8 +9,8 @@
 namespace caperpath::gateway
 {
 
-/// The gateway's metrics over a registry of its own. Labels are bounded: they
-/// name outcomes and steps, never a request or a customer. Loop thread only.
+/// The metrics of the gateway, in their own registry. Label values are bounded:
+/// they name outcomes and steps, never requests or customers. Loop thread only.
 class gateway_metrics
 {
 public:
@@ -20,31 +20,31 @@
     gateway_metrics(gateway_metrics const&) = delete;
     gateway_metrics& operator=(gateway_metrics const&) = delete;
 
-    /// One answered request, its status and the reason for it.
+    /// Counts a finished request by its status and reason.
     void request_ended(std::string_view reason, int status);
 
-    /// From a request's arrival to the first part of its answer.
+    /// Time from the arrival of a request to the first part of its response.
     void first_part(std::int64_t ms);
 
-    /// From the send to a server to the first part of its answer.
+    /// Time from a send to a server to the first part of its response.
     void server_first_part(std::int64_t ms);
 
-    /// How long a reservation of tokens took.
+    /// Time that a reservation of tokens took.
     void reserve_wait(std::int64_t ms);
 
-    /// A request sent to a server; `repeat` if it was sent before.
-    void sent(bool repeat);
+    /// Counts a send to a server; `retry` if the request was sent before.
+    void sent(bool retry);
 
-    /// The configuration in force and how many servers are listed.
+    /// The configuration in use and the number of listed servers.
     void site_version(std::uint64_t version);
     void servers_listed(std::size_t count);
 
-    /// The store answered a call, or did not.
+    /// Counts a store call by whether the store responded.
     void store_call(bool reached);
 
     void lines_dropped(std::uint64_t total);
 
-    /// The registry in Prometheus' text format.
+    /// Returns the registry in Prometheus' text format.
     std::string render() const;
 
 private:
--- a/src/gateway/gateway_views.cpp
+++ b/src/gateway/gateway_views.cpp
@@ -4,16 +4,16 @@
 #include <utility>
 #include <vector>
 
-/// How the gateway's views of configuration and servers follow the store.
+/// Keeps the configuration and the list of servers up to date from the store.
 namespace caperpath::gateway
 {
 
 void gateway_server::follow_store(store::async_port const& store)
 {
-    auto const& names = this->shared.names;
+    auto const& adapter = this->shared.adapter;
     auto const reached = [this](bool reachable, error const& why)
     {
-        this->note_store(reachable, why);
+        this->record_store_call(reachable, why);
     };
     auto const salt = fleet::stable_hash(this->shared.settings.vm);
     auto const missed = [this](error const& why)
@@ -23,11 +23,11 @@
     };
     auto const on_site = [this](store::feed_page const& page)
     {
-        this->shared.link = fleet::confirmed(this->shared.link);
+        this->shared.uplink = fleet::confirmed(this->shared.uplink);
         this->apply_site(page);
     };
     this->sites = std::make_unique<table_follower>(
-        this->loop.get_executor(), store, names.site_table,
+        this->loop.get_executor(), store, adapter.site_table,
         table_listener{on_site, on_site, reached, missed}, salt);
     auto const on_servers = [this](store::feed_page const& page)
     {
@@ -37,25 +37,25 @@
         }
     };
     this->servers = std::make_unique<table_follower>(
-        this->loop.get_executor(), store, names.server_table,
+        this->loop.get_executor(), store, adapter.server_table,
         table_listener{[this](store::feed_page const& page)
                        { this->replace_servers(page); },
                        on_servers, reached, missed},
         salt);
 }
 
-/// A configuration never goes back in one life of the process: an older one
-/// could bring back a key that was revoked.
+/// Ignores configurations older than the one in use: they could restore a
+/// revoked key.
 void gateway_server::apply_site(store::feed_page const& page)
 {
     for (auto const& row : page.rows)
     {
-        if (row.key != this->shared.names.site_key || row.deleted)
+        if (row.key != this->shared.adapter.site_key || row.deleted)
         {
             continue;
         }
         auto const began = this->shared.now.now();
-        auto read = this->shared.names.read_site(row.value);
+        auto read = this->shared.adapter.read_site(row.value);
         if (auto const* fault = std::get_if<error>(&read))
         {
             this->shared.log.fault(*fault);
@@ -89,12 +89,12 @@
     }
 }
 
-/// The entry in a row, or nothing if it cannot be read: then nothing is known
-/// of that server any more, and it is not used.
+/// Parses the entry in a row. Returns nothing if it is invalid: the state of
+/// that server is then unknown, and the server is not used.
 std::optional<fleet::server_entry>
 gateway_server::read_entry(store::feed_row const& row)
 {
-    auto const read = this->shared.names.read_server(row.key, row.value);
+    auto const read = this->shared.adapter.read_server(row.key, row.value);
     if (auto const* fault = std::get_if<error>(&read))
     {
         this->shared.log.fault(*fault);
@@ -103,11 +103,12 @@
     return std::get<fleet::server_entry>(read);
 }
 
-void gateway_server::note_listed(fleet::server_entry const& entry, bool is_new)
+void gateway_server::handle_listed(fleet::server_entry const& entry,
+                                   bool is_new)
 {
     if (is_new)
     {
-        this->shared.pool.forget(entry.id);
+        this->shared.pool.drop(entry.id);
         this->shared.prompts.forget(entry.id);
     }
     if (is_new || entry.leaving)
@@ -130,8 +131,8 @@
                                {{"server", row.key}, {"state", "unlisted"}});
         return;
     }
-    this->note_listed(*entry,
-                      fleet::list_server(this->shared.servers, *entry, now));
+    this->handle_listed(*entry,
+                        fleet::list_server(this->shared.servers, *entry, now));
 }
 
 void gateway_server::replace_servers(store::feed_page const& page)
@@ -148,13 +149,13 @@
                                               this->shared.now.now());
     for (auto const& id : added)
     {
-        this->note_listed(this->shared.servers.servers.at(id).entry, true);
+        this->handle_listed(this->shared.servers.servers.at(id).entry, true);
     }
     this->shared.servers_listed = true;
     this->shared.metrics.servers_listed(entries.size());
 }
 
-void gateway_server::note_store(bool reachable, error const& why)
+void gateway_server::record_store_call(bool reachable, error const& why)
 {
     fleet::note_store(this->shared.servers, reachable, this->shared.now.now());
     this->shared.metrics.store_call(reachable);
--- a/src/gateway/head_text.hpp
+++ b/src/gateway/head_text.hpp
@@ -10,8 +10,8 @@
 namespace caperpath::gateway
 {
 
-/// The start line and the fields as they go over the wire, with the empty line
-/// at their end. Thread safe.
+/// Returns the start line and the fields in wire format, including the empty
+/// line that ends them. Thread safe.
 template <bool IsRequest, class Body, class Fields>
 std::string
 head_text(boost::beast::http::message<IsRequest, Body, Fields> const& head)
--- a/src/gateway/http_call.cpp
+++ b/src/gateway/http_call.cpp
@@ -25,15 +25,15 @@
 namespace
 {
 
-constexpr std::uint64_t largest_answer = 64ULL * 1024 * 1024;
-constexpr std::size_t most_idle = 4;
+constexpr std::uint64_t max_response_bytes = 64ULL * 1024 * 1024;
+constexpr std::size_t max_idle_connections = 4;
 constexpr std::size_t read_size = 65'536;
 
-/// After a second without bytes one probe has a second to be answered.
+/// Probes after a second without bytes; the peer has a second to respond.
 constexpr int probe_after_s = 1;
-constexpr int probe_answer_s = 1;
-constexpr int unanswered_probes = 1;
-static_assert((probe_after_s + probe_answer_s * unanswered_probes) * 1'000 <=
+constexpr int probe_timeout_s = 1;
+constexpr int probe_count = 1;
+static_assert((probe_after_s + probe_timeout_s * probe_count) * 1'000 <=
               longest_unnoticed_silence.ms);
 
 } // namespace
@@ -42,7 +42,8 @@
 {
     auto const set = [&socket](int level, int name, int value)
     {
-        // An option that cannot be set leaves the bound of the whole call.
+        // If an option cannot be set, the timeout of the whole call still
+        // applies.
         static_cast<void>(setsockopt(socket.native_handle(), level, name,
                                      &value, sizeof value));
     };
@@ -50,8 +51,8 @@
     if (on)
     {
         set(IPPROTO_TCP, TCP_KEEPIDLE, probe_after_s);
-        set(IPPROTO_TCP, TCP_KEEPINTVL, probe_answer_s);
-        set(IPPROTO_TCP, TCP_KEEPCNT, unanswered_probes);
+        set(IPPROTO_TCP, TCP_KEEPINTVL, probe_timeout_s);
+        set(IPPROTO_TCP, TCP_KEEPCNT, probe_count);
     }
 }
 
@@ -79,7 +80,7 @@
                        if (fault)
                        {
                            result.sent = true;
-                           result.detail = "the exchange failed";
+                           result.detail = "exception during the call";
                        }
                        done(std::move(result));
                    });
@@ -90,12 +91,14 @@
                              std::function<void(call_result)> done)
 {
     this->send(
-        std::move(request), {wait_for_answer(this->patience, longest), longest},
+        std::move(request),
+        {wait_for_answer(this->timeout_estimate, longest), longest},
         [this, began = this->now.now(), done = std::move(done)](auto result)
         {
-            this->patience = result.answer ? answered(this->patience,
-                                                      this->now.now() - began)
-                                           : unanswered(this->patience);
+            this->timeout_estimate =
+                result.answer
+                    ? answered(this->timeout_estimate, this->now.now() - began)
+                    : unanswered(this->timeout_estimate);
             done(std::move(result));
         });
 }
@@ -106,8 +109,8 @@
     {
         auto stream = std::move(this->idle.back());
         this->idle.pop_back();
-        // Nothing may wait to be read: it would be another call's answer, or
-        // the end of the connection.
+        // Discards connections with unread input: it would be the response to
+        // another call, or the end of the connection.
         boost::system::error_code fault;
         char byte{};
         stream->socket().non_blocking(true, fault);
@@ -157,9 +160,10 @@
         co_return result;
     }
     auto reusable = false;
-    co_await this->read_answer(*stream, began, limits.stall, result, reusable);
+    co_await this->read_response(*stream, began, limits.stall, result,
+                                 reusable);
     stream->expires_never();
-    if (reusable && this->idle.size() < most_idle)
+    if (reusable && this->idle.size() < max_idle_connections)
     {
         if (is_held)
         {
@@ -170,16 +174,15 @@
     co_return result;
 }
 
-asio::awaitable<void> http_caller::read_answer(boost::beast::tcp_stream& stream,
-                                               instant began, duration stall,
-                                               call_result& result,
-                                               bool& reusable)
+asio::awaitable<void>
+http_caller::read_response(boost::beast::tcp_stream& stream, instant began,
+                           duration stall, call_result& result, bool& reusable)
 {
     auto& cost = result.cost;
     boost::system::error_code fault;
     boost::beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(largest_answer);
+    parser.body_limit(max_response_bytes);
     transfer_watch watch;
     while (!fault && !parser.is_done())
     {
@@ -192,7 +195,8 @@
         {
             cost.answered = cost.took;
             watch = watch_transfer(stall, at);
-            // Left small, it takes a call of the system for each 512 bytes.
+            // With the small default buffer each 512 bytes would take one
+            // system call.
             buffer.reserve(parser.is_done() ? 0 : read_size);
         }
         cost.bytes += static_cast<std::int64_t>(size);
--- a/src/gateway/http_call.hpp
+++ b/src/gateway/http_call.hpp
@@ -25,25 +25,26 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-/// What came of one call.
+/// The result of one call.
 struct call_result
 {
-    bool sent{false}; ///< some of it may have arrived
+    bool sent{false}; ///< the peer may have received some of it
     std::optional<http::response<http::string_body>> answer;
-    std::string detail; ///< why there is no answer
+    std::string detail; ///< why there is no response
     store::read_cost cost{};
 };
 
-/// How long a call may take: `answer` to connect, and `answer` again until its
-/// answer begins. The rest takes as long as its bytes need, in stretches of
-/// `stall` that each bring `least_progress`.
+/// Timeouts of a call: `answer` to connect, and `answer` again until the
+/// response begins. The rest may take as long as it makes progress: each period
+/// of `stall` must bring `least_progress`.
 struct call_limits
 {
     duration answer{};
     duration stall{};
-    /// The part of `answer` for which the peer holds the call on purpose. It is
-    /// not spent on connecting, and the kernel probes the connection meanwhile:
-    /// one that went silent ends the call within `longest_unnoticed_silence`.
+    /// The part of `answer` for which the peer holds the call on purpose (long
+    /// polling). It does not apply to connecting. While the call is held the
+    /// kernel probes the connection; if it goes silent, the call ends within
+    /// `longest_unnoticed_silence`.
     duration held{};
 
     friend bool operator==(call_limits const&, call_limits const&) = default;
@@ -51,27 +52,28 @@
 
 inline constexpr duration longest_unnoticed_silence{2'000};
 
-/// Makes the kernel probe a connection on which nothing comes, or stop it.
-/// Thread safe for different sockets.
+/// Turns keep-alive probes of an idle connection on or off. Thread safe for
+/// different sockets.
 void probe_silence(asio::ip::tcp::socket& socket, bool on);
 
-/// HTTP/1.1 calls to one peer over a few kept connections. A call is sent
-/// at most once. Loop thread only; callbacks come later, never from within
-/// `send`. The caller outlives all calls.
+/// An HTTP/1.1 client for one peer that keeps a few connections open. A call is
+/// sent at most once. Loop thread only; callbacks run later, never from within
+/// `send`. The client must outlive all calls.
 class http_caller
 {
 public:
     /// @pre `address` is "IP:port".
     http_caller(asio::any_io_executor executor, std::string const& address);
 
-    /// The answer must begin within `limits.answer`, and then go on. The
-    /// connection of a call without a whole answer is closed, since the answer
-    /// may come late and would be taken for that of the next call.
+    /// Sends `request` within `limits`. The connection of a call without a
+    /// complete response is closed, since a late response would be taken for
+    /// that of the next call.
     void send(http::request<http::string_body> request, call_limits limits,
               std::function<void(call_result)> done);
 
-    /// The same for a call that is answered as soon as can be: the wait follows
-    /// what such answers took of late, and is `longest` at most. So is a stall.
+    /// The same for a call to which the peer responds immediately: the timeout
+    /// adapts to recent response times, up to `longest`. The stall timeout is
+    /// `longest`.
     void send_short(http::request<http::string_body> request, duration longest,
                     std::function<void(call_result)> done);
 
@@ -81,18 +83,18 @@
     asio::awaitable<call_result>
     exchange(http::request<http::string_body> request, call_limits limits);
     stream_ptr take();
-    asio::awaitable<void> read_answer(boost::beast::tcp_stream& stream,
-                                      instant began, duration stall,
-                                      call_result& result, bool& reusable);
+    asio::awaitable<void> read_response(boost::beast::tcp_stream& stream,
+                                        instant began, duration stall,
+                                        call_result& result, bool& reusable);
 
     asio::any_io_executor executor;
     boost::asio::ip::tcp::endpoint peer;
     std::vector<stream_ptr> idle;
-    call_patience patience;
+    call_patience timeout_estimate;
     caperpath::clock now{caperpath::clock::monotonic()};
 };
 
-/// The address "IP:port" as an endpoint. @pre `is_address(address)`.
+/// Converts "IP:port" to an endpoint. @pre `is_address(address)`.
 boost::asio::ip::tcp::endpoint endpoint_of(std::string const& address);
 
 } // namespace caperpath::gateway
--- a/src/gateway/roster_keeper.cpp
+++ b/src/gateway/roster_keeper.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// All heartbeat rows stand in one partition, named by the end of their keys.
+/// The suffix of the keys puts all heartbeat rows into one partition.
 constexpr std::string_view key_begin = "router/";
 constexpr std::string_view key_end = "/fleet";
 constexpr char range_begin[] = "router//fleet";
@@ -23,7 +23,7 @@
     return std::string{key_begin} + router.value + std::string{key_end};
 }
 
-/// Nothing for the key of another row.
+/// Returns nothing if `key` is not a heartbeat row.
 std::optional<incarnation_id> router_of(std::string const& key)
 {
     auto const around = key_begin.size() + key_end.size();
@@ -37,47 +37,47 @@
 
 } // namespace
 
-roster_keeper::roster_keeper(boost::asio::any_io_executor const& executor,
-                             store::async_port port, incarnation_id self,
-                             std::string address, duration window,
-                             decision_log& log)
-    : beat_timer{executor},
+membership_tracker::membership_tracker(
+    boost::asio::any_io_executor const& executor, store::async_port port,
+    incarnation_id self, std::string address, duration window,
+    decision_log& log)
+    : heartbeat_timer{executor},
       read_timer{executor}, port{std::move(port)}, self{std::move(self)},
       address{std::move(address)}, window{window}, log{log}
 {
 }
 
-void roster_keeper::start()
+void membership_tracker::start()
 {
-    this->beat_after(fleet::first_heartbeat_after(this->self));
-    this->read();
+    this->heartbeat_after(fleet::first_heartbeat_after(this->self));
+    this->read_members();
 }
 
-void roster_keeper::leave()
+void membership_tracker::remove_own_row()
 {
     this->leaving = true;
     store::transaction txn;
     txn.writes.push_back({key_of(this->self), std::nullopt});
-    // If it is lost, the row counts as dead after its lifetime.
+    // If this write is lost, the row counts as dead after its lifetime.
     this->port.commit(txn, [](store::commit_result const&) {});
 }
 
-std::int64_t roster_keeper::alive_vms() const
+std::int64_t membership_tracker::alive_vms() const
 {
     return fleet::alive_vms(this->known);
 }
 
-std::map<std::string, incarnation_id> roster_keeper::live_routers() const
+std::map<std::string, incarnation_id> membership_tracker::live_routers() const
 {
     return fleet::live_routers(this->known);
 }
 
-std::uint64_t roster_keeper::reads() const
+std::uint64_t membership_tracker::completed_reads() const
 {
     return this->read_count;
 }
 
-std::int64_t roster_keeper::slack_sharers() const
+std::int64_t membership_tracker::retry_sharers() const
 {
     if (this->leaving)
     {
@@ -87,12 +87,12 @@
                                 this->window, this->now.now());
 }
 
-duration roster_keeper::view_age() const
+duration membership_tracker::read_age() const
 {
     return this->now.now() - this->known.read.sent;
 }
 
-void roster_keeper::beat()
+void membership_tracker::send_heartbeat()
 {
     if (this->leaving)
     {
@@ -113,17 +113,17 @@
                                                        {sent, this->now.now()},
                                                        this->window);
                       });
-    this->beat_after(fleet::heartbeat_interval);
+    this->heartbeat_after(fleet::heartbeat_interval);
 }
 
-void roster_keeper::beat_after(duration pause)
+void membership_tracker::heartbeat_after(duration pause)
 {
-    call_after(this->beat_timer, pause, [this] { this->beat(); });
+    call_after(this->heartbeat_timer, pause,
+               [this] { this->send_heartbeat(); });
 }
 
-/// After a read that failed the next one comes soon: the view of the fleet
-/// expires.
-void roster_keeper::read()
+/// Retries a failed read soon, since the view of the fleet expires.
+void membership_tracker::read_members()
 {
     auto const sent = this->now.now();
     this->port.scan(
@@ -133,35 +133,35 @@
             if (auto const* fault = std::get_if<error>(&reply))
             {
                 this->log.fault(*fault);
-                this->read_after(fleet::heartbeat_interval);
+                this->read_members_after(fleet::heartbeat_interval);
                 return;
             }
-            this->take(std::get<std::vector<store::row>>(reply),
-                       {sent, this->now.now()});
-            this->read_after(fleet::read_interval(this->known));
+            this->apply(std::get<std::vector<store::row>>(reply),
+                        {sent, this->now.now()});
+            this->read_members_after(fleet::read_interval(this->known));
         });
 }
 
-void roster_keeper::read_after(duration pause)
+void membership_tracker::read_members_after(duration pause)
 {
-    call_after(this->read_timer, pause, [this] { this->read(); });
+    call_after(this->read_timer, pause, [this] { this->read_members(); });
 }
 
-void roster_keeper::take(std::vector<store::row> const& rows,
-                         fleet::call_times const& times)
+void membership_tracker::apply(std::vector<store::row> const& rows,
+                               fleet::call_times const& times)
 {
-    std::vector<fleet::heartbeat> beats;
-    beats.reserve(rows.size());
+    std::vector<fleet::heartbeat> heartbeats;
+    heartbeats.reserve(rows.size());
     for (auto const& row : rows)
     {
         if (auto const router = router_of(row.key))
         {
-            beats.push_back({*router, row.value, row.version});
+            heartbeats.push_back({*router, row.value, row.version});
         }
     }
-    this->known = fleet::seen(std::move(this->known), beats, times);
+    this->known = fleet::seen(std::move(this->known), heartbeats, times);
     this->read_count += 1;
-    this->remove_dead();
+    this->remove_dead_rows();
     auto const count = fleet::alive(this->known);
     if (count != this->last_alive)
     {
@@ -172,7 +172,7 @@
     }
 }
 
-void roster_keeper::remove_dead()
+void membership_tracker::remove_dead_rows()
 {
     for (auto const& router : fleet::dead(this->known, this->self))
     {
@@ -180,7 +180,7 @@
         store::transaction txn;
         txn.conditions.push_back({key, this->known.members.at(router).version});
         txn.writes.push_back({key, std::nullopt});
-        // Another router may have removed it; the next read shows.
+        // On a conflict another router removed it; the next read shows that.
         this->port.commit(txn, [](store::commit_result const&) {});
     }
 }
--- a/src/gateway/roster_keeper.hpp
+++ b/src/gateway/roster_keeper.hpp
@@ -18,48 +18,48 @@
 namespace caperpath::gateway
 {
 
-/// Writes this router's heartbeat row and reads those of the others. Loop
-/// thread only; outlives its calls, and `log` outlives it.
-class roster_keeper
+/// Writes the heartbeat row of this router and reads those of the others. Loop
+/// thread only; must outlive its calls, and `log` must outlive it.
+class membership_tracker
 {
 public:
-    /// `window` is that of the limit on repeats.
-    roster_keeper(boost::asio::any_io_executor const& executor,
-                  store::async_port port, incarnation_id self,
-                  std::string address, duration window, decision_log& log);
+    /// `window` is the window of the retry limit.
+    membership_tracker(boost::asio::any_io_executor const& executor,
+                       store::async_port port, incarnation_id self,
+                       std::string address, duration window, decision_log& log);
 
-    /// Begins; call once.
+    /// Starts heartbeats and reads; call once.
     void start();
 
-    /// Removes the own row: the process is about to end.
-    void leave();
+    /// Removes the own row, before the process exits.
+    void remove_own_row();
 
-    /// The VMs with a live router by the latest read; at least 1.
+    /// Number of VMs with a live router as of the latest read; at least 1.
     std::int64_t alive_vms() const;
 
-    /// The live routers by the address for datagrams, by the latest read.
+    /// The live routers by their address for datagrams, as of the latest read.
     std::map<std::string, incarnation_id> live_routers() const;
 
-    /// Reads of the rows so far.
-    std::uint64_t reads() const;
+    /// Number of completed reads of the rows.
+    std::uint64_t completed_reads() const;
 
-    /// Among how many routers the slack of the limit on repeats is divided now;
-    /// 0 when none of it is this router's.
-    std::int64_t slack_sharers() const;
+    /// Number of routers that divide the retry allowance now; 0 if this router
+    /// may use no part of it.
+    std::int64_t retry_sharers() const;
 
-    /// How long ago the latest read of the rows was sent, for the log.
-    duration view_age() const;
+    /// Time since the latest completed read was sent, for the log.
+    duration read_age() const;
 
 private:
-    void beat();
-    void beat_after(duration pause);
-    void read();
-    void read_after(duration pause);
-    void remove_dead();
-    void take(std::vector<store::row> const& rows,
-              fleet::call_times const& times);
-
-    boost::asio::steady_timer beat_timer;
+    void send_heartbeat();
+    void heartbeat_after(duration pause);
+    void read_members();
+    void read_members_after(duration pause);
+    void remove_dead_rows();
+    void apply(std::vector<store::row> const& rows,
+               fleet::call_times const& times);
+
+    boost::asio::steady_timer heartbeat_timer;
     boost::asio::steady_timer read_timer;
     store::async_port port;
     incarnation_id self;
--- a/src/gateway/server_call.cpp
+++ b/src/gateway/server_call.cpp
@@ -20,93 +20,94 @@
 
 using fleet::attempt_end;
 
-constexpr std::uint64_t largest_whole_answer = 16ULL * 1024 * 1024;
-constexpr std::size_t piece_size = 16'384;
-/// A kept connection may have been dropped on the way without notice; the
-/// longer it was idle the likelier. A request that may run again is tried again
-/// then, one that may not is lost, so it takes fresh connections only.
-constexpr duration idle_for_repeatable{4'000};
-constexpr duration idle_for_single{1'000};
-constexpr duration usual_idle_timeout{5'000};
+constexpr std::uint64_t max_buffered_response = 16ULL * 1024 * 1024;
+constexpr std::size_t parse_buffer_size = 16'384;
+/// An idle connection may have been dropped on the network without notice, and
+/// the risk grows with the idle time. A repeatable request is then retried; one
+/// that is not repeatable would be lost, so it only uses connections that were
+/// in use recently.
+constexpr duration max_idle_repeatable{4'000};
+constexpr duration max_idle_non_repeatable{1'000};
+constexpr duration default_idle_timeout{5'000};
 constexpr duration idle_margin{500};
 constexpr int first_final_status = 200;
 
 } // namespace
 
-server_call::server_call(exchange& of, fleet::placement const& where)
-    : of{of}, where{where}
+server_call::server_call(exchange& current, fleet::placement const& where)
+    : current{current}, where{where}
 {
 }
 
 server_call::~server_call()
 {
-    auto* const one = this->server();
-    if (this->counted && one != nullptr)
+    auto* const target = this->server();
+    if (this->counted_open && target != nullptr)
     {
-        one->own.open -= 1;
-        one->own.in_memory -=
-            this->of.work.prompt_tokens + this->of.work.output_tokens;
+        target->own.open -= 1;
+        target->own.in_memory -=
+            this->current.work.prompt_tokens + this->current.work.output_tokens;
     }
-    if (this->unread_counted && one != nullptr)
+    if (this->counted_unread && target != nullptr)
     {
-        one->own.unread -= this->of.work.prompt_tokens;
+        target->own.unread -= this->current.work.prompt_tokens;
     }
     if (this->connection)
     {
-        this->finish_connection();
+        this->release_connection();
     }
 }
 
 fleet::server* server_call::server()
 {
-    auto& all = this->of.shared.servers.servers;
+    auto& all = this->current.shared.servers.servers;
     auto const found = all.find(this->where.server);
     return found == all.end() ? nullptr : &found->second;
 }
 
-void server_call::finish_connection()
+void server_call::release_connection()
 {
-    auto const idle_for =
-        this->facts.idle_timeout.value_or(usual_idle_timeout) - idle_margin;
-    if (this->clean && this->connection->unsent() == 0 &&
-        idle_for > duration{0})
+    auto const keep_idle =
+        this->facts.idle_timeout.value_or(default_idle_timeout) - idle_margin;
+    if (this->reusable && this->connection->unsent() == 0 &&
+        keep_idle > duration{0})
     {
-        this->of.shared.pool.give_back(this->where.server, this->connection,
-                                       idle_for);
+        this->current.shared.pool.release(this->where.server, this->connection,
+                                          keep_idle);
         return;
     }
-    // Closing is what tells the server to stop the work.
-    this->connection->notify(nullptr);
-    this->connection->close(!this->clean);
+    // Closing the connection makes the server cancel the request.
+    this->connection->set_waker(nullptr);
+    this->connection->close(!this->reusable);
 }
 
 asio::awaitable<attempt_end> server_call::run()
 {
-    this->of.step = "connect";
+    this->current.step = "connect";
     if (auto const end = co_await this->connect())
     {
         co_return *end;
     }
-    this->of.step = "wait_for_answer";
+    this->current.step = "wait_for_answer";
     this->send();
     if (auto const end = co_await this->read_head())
     {
         co_return *end;
     }
-    this->of.step = "relay";
+    this->current.step = "relay";
     auto const events =
-        this->of.route->kind == fleet::request_kind::streaming &&
-        this->answer->get().result_int() == http_ok;
-    if (this->of.answer_begun && !events)
+        this->current.route->kind == fleet::request_kind::streaming &&
+        this->response->get().result_int() == http_ok;
+    if (this->current.response_started && !events)
     {
-        // The caller has half of a stream already; another head cannot follow.
+        // Part of a stream was already sent; another head cannot follow.
         co_return attempt_end::in_doubt;
     }
     if (events)
     {
-        co_return co_await this->pass_events();
+        co_return co_await this->relay_events();
     }
-    co_return co_await this->pass_whole();
+    co_return co_await this->relay_whole();
 }
 
 bool server_call::lost_connection() const
@@ -116,99 +117,101 @@
 
 asio::awaitable<std::optional<attempt_end>> server_call::connect()
 {
-    auto& shared = this->of.shared;
-    auto const* const one = this->server();
-    auto const max_idle = fleet::may_run_again(this->of.attempts)
-                              ? idle_for_repeatable
-                              : idle_for_single;
-    auto const time_left = this->of.deadline - shared.now.now();
-    this->connection = co_await shared.pool.take(
-        this->where.server, one->entry.address, max_idle, time_left);
+    auto& shared = this->current.shared;
+    auto const* const target = this->server();
+    auto const max_idle = fleet::may_run_again(this->current.attempts)
+                              ? max_idle_repeatable
+                              : max_idle_non_repeatable;
+    auto const time_left = this->current.deadline - shared.now.now();
+    this->connection = co_await shared.pool.acquire(
+        this->where.server, target->entry.address, max_idle, time_left);
     auto* const after = this->server();
     if (!this->connection)
     {
-        // Given up for want of time it says nothing about the server.
-        if (after != nullptr && this->of.deadline > shared.now.now())
+        // If the deadline cut the connect short, it says nothing about the
+        // server.
+        if (after != nullptr && this->current.deadline > shared.now.now())
         {
             fleet::note_failure(*after, true, shared.now.now());
-            shared.pool.forget(this->where.server);
+            shared.pool.drop(this->where.server);
         }
         shared.log.write(log_weight::notable, "connect",
-                         {{"request", this->of.facts.id},
+                         {{"request", this->current.facts.id},
                           {"server", this->where.server.value},
                           {"outcome", "not_reached"}});
         co_return attempt_end::not_reached;
     }
-    if (caller_left(this->of))
+    if (caller_disconnected(this->current))
     {
-        this->clean = true;
+        this->reusable = true;
         co_return attempt_end::caller_gone;
     }
-    // It may have begun to leave while the connection was made.
+    // The server may have started draining during the connect.
     if (after == nullptr || fleet::is_leaving(*after, shared.now.now()))
     {
-        this->clean = true;
+        this->reusable = true;
         co_return attempt_end::not_reached;
     }
-    this->connection->notify(this->of.sleeper);
+    this->connection->set_waker(this->current.wakeup);
     co_return std::nullopt;
 }
 
 void server_call::send()
 {
-    auto& shared = this->of.shared;
+    auto& shared = this->current.shared;
     auto const now = shared.now.now();
     this->sent_at = now;
-    http::request<http::empty_body> head{this->of.request.method(),
-                                         this->of.request.target(), 11};
-    for (auto const& field : this->of.request)
+    http::request<http::empty_body> head{this->current.request.method(),
+                                         this->current.request.target(), 11};
+    for (auto const& field : this->current.request)
     {
         head.insert(field.name(), field.name_string(), field.value());
     }
-    dispatch_facts tell;
-    tell.time_left = std::max(duration{1}, this->of.deadline - now);
-    tell.server = this->where.server;
-    if (this->of.customer != nullptr)
+    dispatch_facts details;
+    details.time_left = std::max(duration{1}, this->current.deadline - now);
+    details.server = this->where.server;
+    if (this->current.customer != nullptr)
     {
-        tell.customer = this->of.customer->id;
+        details.customer = this->current.customer->id;
     }
-    tell.has_priority = this->of.route->has_prompt;
-    auto const priority = this->of.customer != nullptr
-                              ? this->of.customer->priority
+    details.has_priority = this->current.route->has_prompt;
+    auto const priority = this->current.customer != nullptr
+                              ? this->current.customer->priority
                               : std::nullopt;
-    tell.priority = priority.value_or(this->of.route->priority);
-    tell.resume_after = this->of.events.last_id();
-    shared.names.prepare_request(head, tell);
-    auto const& content = this->of.request.body();
-    auto const had_body = this->of.request.has_content_length() ||
-                          this->of.request.chunked() || !content.empty();
+    details.priority = priority.value_or(this->current.route->priority);
+    details.resume_after = this->current.events.last_id();
+    shared.adapter.prepare_request(head, details);
+    auto const& content = this->current.request.body();
+    auto const had_body = this->current.request.has_content_length() ||
+                          this->current.request.chunked() || !content.empty();
     if (had_body)
     {
         head.set(http::field::content_length, std::to_string(content.size()));
     }
     this->connection->send(head_text(head) + content);
-    shared.metrics.sent(this->of.arrivals > 0);
-    this->of.arrivals += 1;
-    if (auto* const one = this->server())
+    shared.metrics.sent(this->current.possible_deliveries > 0);
+    this->current.possible_deliveries += 1;
+    if (auto* const target = this->server())
     {
-        one->own.open += 1;
-        one->own.in_memory +=
-            this->of.work.prompt_tokens + this->of.work.output_tokens;
-        one->own.unread += this->of.work.prompt_tokens;
-        this->counted = true;
-        this->unread_counted = true;
+        target->own.open += 1;
+        target->own.in_memory +=
+            this->current.work.prompt_tokens + this->current.work.output_tokens;
+        target->own.unread += this->current.work.prompt_tokens;
+        this->counted_open = true;
+        this->counted_unread = true;
     }
-    shared.prompts.note(this->where.server, this->of.work.shared_part, now);
+    shared.prompts.note(this->where.server, this->current.work.shared_part,
+                        now);
 }
 
-/// Why the answer cannot go on, or nothing if it can.
-std::optional<attempt_end> server_call::ended_early()
+/// How the attempt ends if the response cannot continue; nothing if it can.
+std::optional<attempt_end> server_call::early_end()
 {
-    if (caller_left(this->of))
+    if (caller_disconnected(this->current))
     {
         return attempt_end::caller_gone;
     }
-    if (this->of.shared.now.now() >= this->of.deadline)
+    if (this->current.shared.now.now() >= this->current.deadline)
     {
         return attempt_end::expired;
     }
@@ -217,118 +220,121 @@
                : std::optional{attempt_end::in_doubt};
 }
 
-/// Parses what has arrived. Bytes of the body are put into `body`.
-std::optional<attempt_end> server_call::parse_more()
+/// Parses the received bytes and appends those of the body to `body`.
+std::optional<attempt_end> server_call::parse_input()
 {
     auto& input = this->connection->input();
-    std::array<char, piece_size> piece{};
-    while (input.size() > 0 && !this->answer->is_done())
+    std::array<char, parse_buffer_size> part{};
+    while (input.size() > 0 && !this->response->is_done())
     {
-        auto& content = this->answer->get().body();
-        content.data = piece.data();
-        content.size = piece.size();
+        auto& content = this->response->get().body();
+        content.data = part.data();
+        content.size = part.size();
         content.more = true;
         boost::system::error_code fault;
-        auto const used = this->answer->put(input.data(), fault);
+        auto const used = this->response->put(input.data(), fault);
         input.consume(used);
-        this->body.append(piece.data(), piece.size() - content.size);
+        this->body.append(part.data(), part.size() - content.size);
         if (fault == http::error::need_more)
         {
             break;
         }
         if (fault && fault != http::error::need_buffer)
         {
-            return attempt_end::in_doubt; // bytes that are no answer
+            return attempt_end::in_doubt; // not a valid response
         }
-        if (used == 0 && content.size == piece.size())
+        if (used == 0 && content.size == part.size())
         {
             break;
         }
     }
     this->connection->resume();
     auto const finished = this->connection->end() == peer_end::finished;
-    if (finished && input.size() == 0 && this->answer->is_header_done() &&
-        !this->answer->is_done() && this->answer->need_eof())
+    if (finished && input.size() == 0 && this->response->is_header_done() &&
+        !this->response->is_done() && this->response->need_eof())
     {
         boost::system::error_code fault;
-        this->answer->put_eof(fault);
+        this->response->put_eof(fault);
     }
     return std::nullopt;
 }
 
-/// A server may answer an earlier request of this connection a second time;
-/// its answer would be taken for this one's. Skips an answer to another request
-/// and those before the final one.
-bool server_call::skip_foreign_answer()
+/// True if the response is interim or belongs to another request: a server may
+/// respond twice to an earlier request of this connection, and that response
+/// must not be taken for this one.
+bool server_call::skips_response()
 {
-    auto const& head = this->answer->get();
-    this->facts = this->of.shared.names.read_answer(head, head.result_int());
+    auto const& head = this->response->get();
+    this->facts =
+        this->current.shared.adapter.read_answer(head, head.result_int());
     auto const interim = head.result_int() < first_final_status;
     auto const foreign = !this->facts.request_id.empty() &&
-                         this->facts.request_id != this->of.facts.id;
+                         this->facts.request_id != this->current.facts.id;
     return interim || foreign;
 }
 
 asio::awaitable<std::optional<attempt_end>> server_call::read_head()
 {
     auto skipping = false;
-    this->answer = std::make_unique<parser>();
-    this->answer->body_limit(largest_whole_answer);
+    this->response = std::make_unique<parser>();
+    this->response->body_limit(max_buffered_response);
     while (true)
     {
-        if (auto const fault = this->parse_more())
+        if (auto const fault = this->parse_input())
         {
             co_return fault;
         }
-        if (this->answer->is_header_done())
+        if (this->response->is_header_done())
         {
-            skipping = skipping || this->skip_foreign_answer();
+            skipping = skipping || this->skips_response();
             if (!skipping)
             {
-                co_return this->judge_head();
+                co_return this->evaluate_head();
             }
             this->body.clear();
-            if (this->answer->is_done())
+            if (this->response->is_done())
             {
                 skipping = false;
                 this->facts = {};
-                this->answer = std::make_unique<parser>();
-                this->answer->body_limit(largest_whole_answer);
+                this->response = std::make_unique<parser>();
+                this->response->body_limit(max_buffered_response);
                 continue;
             }
         }
-        if (auto const end = this->ended_early())
+        if (auto const end = this->early_end())
         {
             co_return end;
         }
-        static_cast<void>(co_await sleep(this->of, this->of.deadline));
+        static_cast<void>(
+            co_await wait_until(this->current, this->current.deadline));
     }
 }
 
-/// What follows from the status alone; nothing if the answer is to be passed
-/// on.
-std::optional<attempt_end> server_call::judge_head()
+/// How the attempt ends if the head alone decides it; nothing if the response
+/// is to be relayed.
+std::optional<attempt_end> server_call::evaluate_head()
 {
-    auto const status = static_cast<int>(this->answer->get().result_int());
-    auto* const one = this->server();
-    auto const now = this->of.shared.now.now();
-    if (one != nullptr && this->facts.load)
+    auto const status = static_cast<int>(this->response->get().result_int());
+    auto* const target = this->server();
+    auto const now = this->current.shared.now.now();
+    if (target != nullptr && this->facts.load)
     {
-        one->report = *this->facts.load;
-        one->reported_at = now;
+        target->report = *this->facts.load;
+        target->reported_at = now;
     }
-    this->clean = this->answer->is_done() && this->answer->keep_alive() &&
-                  this->connection->input().size() == 0;
+    this->reusable = this->response->is_done() &&
+                     this->response->keep_alive() &&
+                     this->connection->input().size() == 0;
     if (this->facts.not_run)
     {
-        if (one != nullptr && this->facts.wrong_server)
+        if (target != nullptr && this->facts.wrong_server)
         {
-            fleet::note_replaced(*one, now);
+            fleet::note_replaced(*target, now);
         }
         return this->facts.wrong_server ? attempt_end::wrong_server
                                         : attempt_end::not_run;
     }
-    this->of.prompt_read = true;
+    this->current.prompt_started = true;
     if (status >= http_server_error && this->may_fail_over())
     {
         return attempt_end::failed;
@@ -338,43 +344,43 @@
 
 bool server_call::may_fail_over()
 {
-    auto& shared = this->of.shared;
-    auto state = this->of.attempts;
+    auto& shared = this->current.shared;
+    auto state = this->current.attempts;
     state.runs += 1;
     state.sends += 1;
     auto const now = shared.now.now();
     return fleet::may_send_again(state, attempt_end::failed) &&
-           this->of.deadline - now > this->where.expected &&
-           shared.repeats.allows(this->of.work.service,
-                                 shared.roster.slack_sharers(),
+           this->current.deadline - now > this->where.expected &&
+           shared.retries.allows(this->current.work.service,
+                                 shared.roster.retry_sharers(),
                                  shared.boot_time.now());
 }
 
-void server_call::note_first_part()
+void server_call::record_first_part()
 {
     if (this->first_part_at)
     {
         return;
     }
-    auto& shared = this->of.shared;
+    auto& shared = this->current.shared;
     auto const now = shared.now.now();
     this->first_part_at = now;
     shared.metrics.server_first_part((now - this->sent_at).ms);
-    if (!this->of.first_part)
+    if (!this->current.first_part)
     {
-        this->of.first_part = now - this->of.arrived;
-        shared.metrics.first_part(this->of.first_part->ms);
+        this->current.first_part = now - this->current.arrived;
+        shared.metrics.first_part(this->current.first_part->ms);
     }
-    auto* const one = this->server();
-    if (one == nullptr)
+    auto* const target = this->server();
+    if (target == nullptr)
     {
         return;
     }
-    fleet::note_success(*one, now - this->sent_at, this->where.expected);
-    if (this->unread_counted)
+    fleet::note_success(*target, now - this->sent_at, this->where.expected);
+    if (this->counted_unread)
     {
-        one->own.unread -= this->of.work.prompt_tokens;
-        this->unread_counted = false;
+        target->own.unread -= this->current.work.prompt_tokens;
+        this->counted_unread = false;
     }
 }
 } // namespace caperpath::gateway
--- a/src/gateway/server_call.hpp
+++ b/src/gateway/server_call.hpp
@@ -13,23 +13,23 @@
 namespace caperpath::gateway
 {
 
-/// One attempt of a request at one server: sends it, reads the answer, and
-/// passes it on. Loop thread only; used for one attempt.
+/// One attempt of a request at one server: sends it, reads the response and
+/// relays it to the caller. Loop thread only; used for a single attempt.
 class server_call
 {
 public:
-    server_call(exchange& of, fleet::placement const& where);
+    server_call(exchange& current, fleet::placement const& where);
     ~server_call();
 
     server_call(server_call const&) = delete;
     server_call& operator=(server_call const&) = delete;
 
-    /// Carries the attempt out. When it returns `answered`, the caller has the
-    /// whole answer; `in_doubt` after a part of it went out means that the
-    /// stream stands at `of.events.last_id()`.
+    /// Runs the attempt. On `answered` the whole response was sent to the
+    /// caller. On `in_doubt` after a part of it was sent, the stream can resume
+    /// after `current.events.last_id()`.
     asio::awaitable<fleet::attempt_end> run();
 
-    /// True when the server's side of the connection has ended.
+    /// True if the connection to the server has ended.
     bool lost_connection() const;
 
 private:
@@ -38,30 +38,30 @@
     asio::awaitable<std::optional<fleet::attempt_end>> connect();
     void send();
     asio::awaitable<std::optional<fleet::attempt_end>> read_head();
-    std::optional<fleet::attempt_end> judge_head();
-    asio::awaitable<fleet::attempt_end> pass_whole();
-    asio::awaitable<fleet::attempt_end> pass_events();
-    std::optional<fleet::attempt_end> parse_more();
-    std::optional<fleet::attempt_end> ended_early();
-    bool skip_foreign_answer();
-    void begin_answer(bool chunked);
-    void pass_piece(std::string const& piece);
+    std::optional<fleet::attempt_end> evaluate_head();
+    asio::awaitable<fleet::attempt_end> relay_whole();
+    asio::awaitable<fleet::attempt_end> relay_events();
+    std::optional<fleet::attempt_end> parse_input();
+    std::optional<fleet::attempt_end> early_end();
+    bool skips_response();
+    void start_response(bool chunked);
+    void relay_part(std::string const& part);
     bool may_fail_over();
-    void note_first_part();
-    void finish_connection();
+    void record_first_part();
+    void release_connection();
     fleet::server* server();
 
-    exchange& of;
+    exchange& current;
     fleet::placement where;
     connection_ptr connection;
-    std::unique_ptr<parser> answer;
+    std::unique_ptr<parser> response;
     answer_facts facts;
-    std::string body; ///< parsed and not passed on yet
+    std::string body; ///< parsed and not relayed yet
     instant sent_at{};
     std::optional<instant> first_part_at;
-    bool unread_counted{false};
-    bool counted{false};
-    bool clean{false}; ///< the answer ended where the next may begin
+    bool counted_unread{false};
+    bool counted_open{false};
+    bool reusable{false}; ///< the connection can carry another request
 };
 
 } // namespace caperpath::gateway
--- a/src/gateway/server_call_relay.cpp
+++ b/src/gateway/server_call_relay.cpp
@@ -8,7 +8,7 @@
 
 #include <utility>
 
-/// How a server's answer is passed on to the caller.
+/// Relays the response of a server to the caller.
 namespace caperpath::gateway
 {
 
@@ -17,8 +17,9 @@
 
 using fleet::attempt_end;
 
-/// Bytes that a slow caller may leave unread before its stream waits.
-constexpr std::size_t most_unsent = 65'536;
+/// Reading from the server pauses while a slow caller has more unsent bytes
+/// than this.
+constexpr std::size_t max_unsent = 65'536;
 
 std::string chunk(std::string const& bytes)
 {
@@ -33,110 +34,114 @@
 
 } // namespace
 
-asio::awaitable<attempt_end> server_call::pass_whole()
+asio::awaitable<attempt_end> server_call::relay_whole()
 {
-    while (!this->answer->is_done())
+    while (!this->response->is_done())
     {
-        if (auto const fault = this->parse_more())
+        if (auto const fault = this->parse_input())
         {
             co_return *fault;
         }
-        if (this->answer->is_done())
+        if (this->response->is_done())
         {
             break;
         }
-        if (auto const end = this->ended_early())
+        if (auto const end = this->early_end())
         {
             co_return *end;
         }
-        static_cast<void>(co_await sleep(this->of, this->of.deadline));
+        static_cast<void>(
+            co_await wait_until(this->current, this->current.deadline));
     }
-    if (caller_left(this->of))
+    if (caller_disconnected(this->current))
     {
         co_return attempt_end::caller_gone;
     }
-    this->note_first_part();
-    this->clean =
-        this->answer->keep_alive() && this->connection->input().size() == 0;
-    this->begin_answer(false);
+    this->record_first_part();
+    this->reusable =
+        this->response->keep_alive() && this->connection->input().size() == 0;
+    this->start_response(false);
     co_return attempt_end::answered;
 }
 
-void server_call::begin_answer(bool chunked)
+void server_call::start_response(bool chunked)
 {
-    auto const& from = this->answer->get();
+    auto const& from = this->response->get();
     http::response<http::empty_body> head{from.result(), 11};
     head.reason(from.reason());
     for (auto const& field : from)
     {
         head.insert(field.name(), field.name_string(), field.value());
     }
-    this->of.shared.names.prepare_answer(head);
-    this->of.keep_connection =
-        this->of.keep_connection && !this->of.shared.stop;
-    if (!this->of.keep_connection)
+    this->current.shared.adapter.prepare_answer(head);
+    this->current.keep_connection =
+        this->current.keep_connection && !this->current.shared.stop;
+    if (!this->current.keep_connection)
     {
         head.set(http::field::connection, "close");
     }
-    this->of.answer_begun = true;
-    this->of.status = static_cast<int>(from.result_int());
+    this->current.response_started = true;
+    this->current.status = static_cast<int>(from.result_int());
     if (chunked)
     {
         head.set(http::field::transfer_encoding, "chunked");
-        this->of.caller->send(head_text(head));
+        this->current.caller->send(head_text(head));
         return;
     }
     head.set(http::field::content_length, std::to_string(this->body.size()));
-    this->of.caller->send(head_text(head) + this->body);
+    this->current.caller->send(head_text(head) + this->body);
 }
 
-void server_call::pass_piece(std::string const& piece)
+void server_call::relay_part(std::string const& part)
 {
-    if (piece.empty())
+    if (part.empty())
     {
         return;
     }
-    this->note_first_part();
-    if (!this->of.answer_begun)
+    this->record_first_part();
+    if (!this->current.response_started)
     {
-        this->begin_answer(true);
+        this->start_response(true);
     }
-    this->of.caller->send(chunk(piece));
+    this->current.caller->send(chunk(part));
 }
 
-asio::awaitable<attempt_end> server_call::pass_events()
+asio::awaitable<attempt_end> server_call::relay_events()
 {
     while (true)
     {
-        // A caller that does not read holds its stream back, not the memory.
-        auto const may_read = this->of.caller->unsent() <= most_unsent;
-        auto const fault = may_read ? this->parse_more() : std::nullopt;
-        this->pass_piece(this->of.events.feed(std::exchange(this->body, {})));
-        if (this->answer->is_done())
+        // Back-pressure: a caller that does not read delays its stream and does
+        // not use up memory.
+        auto const may_read = this->current.caller->unsent() <= max_unsent;
+        auto const fault = may_read ? this->parse_input() : std::nullopt;
+        this->relay_part(
+            this->current.events.feed(std::exchange(this->body, {})));
+        if (this->response->is_done())
         {
             break;
         }
-        auto const end = fault || !may_read ? fault : this->ended_early();
+        auto const end = fault || !may_read ? fault : this->early_end();
         if (end)
         {
-            static_cast<void>(this->of.events.take_rest());
+            static_cast<void>(this->current.events.take_rest());
             co_return *end;
         }
-        auto const in_time = co_await sleep(this->of, this->of.deadline);
-        if (!in_time || caller_left(this->of))
+        auto const in_time =
+            co_await wait_until(this->current, this->current.deadline);
+        if (!in_time || caller_disconnected(this->current))
         {
-            static_cast<void>(this->of.events.take_rest());
+            static_cast<void>(this->current.events.take_rest());
             co_return in_time ? attempt_end::caller_gone : attempt_end::expired;
         }
     }
-    this->pass_piece(this->of.events.take_rest());
-    if (!this->of.answer_begun)
+    this->relay_part(this->current.events.take_rest());
+    if (!this->current.response_started)
     {
-        this->begin_answer(true);
+        this->start_response(true);
     }
-    this->of.caller->send(last_chunk());
-    this->clean =
-        this->answer->keep_alive() && this->connection->input().size() == 0;
+    this->current.caller->send(last_chunk());
+    this->reusable =
+        this->response->keep_alive() && this->connection->input().size() == 0;
     co_return attempt_end::answered;
 }
 
--- a/src/gateway/server_pool.cpp
+++ b/src/gateway/server_pool.cpp
@@ -16,26 +16,26 @@
 namespace
 {
 
-/// Bytes to a server in the same region are acknowledged in a few ms; a loss
-/// or two on the way take some hundred ms more.
+/// Servers in the same region acknowledge within a few ms; one or two lost
+/// packets add some hundred ms.
 constexpr std::chrono::milliseconds server_silence{1'500};
-constexpr std::size_t most_kept = 32;
+constexpr std::size_t max_idle_per_server = 32;
 
-bool clean(connection& one)
+bool is_reusable(connection& link)
 {
-    return one.end() == peer_end::open && one.input().size() == 0;
+    return link.end() == peer_end::open && link.input().size() == 0;
 }
 
 } // namespace
 
 server_pool::server_pool(asio::any_io_executor executor,
-                         std::function<void(bool answered)> tried)
-    : executor{std::move(executor)}, tried{std::move(tried)}
+                         std::function<void(bool answered)> on_result)
+    : executor{std::move(executor)}, on_result{std::move(on_result)}
 {
 }
 
-connection_ptr server_pool::take_kept(backend_server_id const& server,
-                                      duration max_idle)
+connection_ptr server_pool::acquire_idle(backend_server_id const& server,
+                                         duration max_idle)
 {
     auto const found = this->idle.find(server);
     auto const now = std::chrono::steady_clock::now();
@@ -43,27 +43,29 @@
     {
         auto const last = std::move(found->second.back());
         found->second.pop_back();
-        // The newest comes first, so if it is too old all are.
+        // The newest is checked first: if it is too old, so are the others.
         auto const fresh = now < last.until &&
-                           now - last.one->last_use() < to_chrono(max_idle);
-        if (fresh && clean(*last.one))
+                           now - last.link->last_use() < to_chrono(max_idle);
+        if (fresh && is_reusable(*last.link))
         {
-            return last.one;
+            return last.link;
         }
-        last.one->close();
+        last.link->close();
     }
     return nullptr;
 }
 
 asio::awaitable<connection_ptr>
-server_pool::take(backend_server_id const& server, std::string const& address,
-                  duration max_idle, duration longest)
+server_pool::acquire(backend_server_id const& server,
+                     std::string const& address, duration max_idle,
+                     duration longest)
 {
-    if (auto kept = this->take_kept(server, max_idle))
+    if (auto idle_connection = this->acquire_idle(server, max_idle))
     {
-        co_return kept;
+        co_return idle_connection;
     }
-    // Shared with the timer, whose handler may run after this function.
+    // Shared with the timer, whose handler may run after this function has
+    // returned.
     auto const socket = std::make_shared<tcp::socket>(this->executor);
     asio::steady_timer limit{this->executor};
     limit.expires_after(to_chrono(std::min(longest, connect_timeout)));
@@ -72,7 +74,7 @@
         {
             if (!cancelled)
             {
-                boost::system::error_code ignored; // the connect fails then
+                boost::system::error_code ignored; // the pending connect fails
                 socket->close(ignored);
             }
         });
@@ -80,39 +82,40 @@
     co_await socket->async_connect(
         endpoint_of(address), asio::redirect_error(asio::use_awaitable, fault));
     limit.cancel();
-    // A refused connect is an answer.
-    auto const silent = !socket->is_open();
-    if (!silent || longest >= connect_timeout)
+    // A refused connection also shows that the server is reachable.
+    auto const timed_out = !socket->is_open();
+    if (!timed_out || longest >= connect_timeout)
     {
-        this->tried(!silent);
+        this->on_result(!timed_out);
     }
     if (fault || !socket->is_open())
     {
         co_return nullptr;
     }
     this->connections_made += 1;
-    auto one = std::make_shared<connection>(std::move(*socket), server_silence);
-    one->start();
-    co_return one;
+    auto link =
+        std::make_shared<connection>(std::move(*socket), server_silence);
+    link->start();
+    co_return link;
 }
 
-void server_pool::give_back(backend_server_id const& server, connection_ptr one,
-                            duration idle_timeout)
+void server_pool::release(backend_server_id const& server, connection_ptr link,
+                          duration idle_timeout)
 {
-    one->notify(nullptr);
-    this->tried(true);
+    link->set_waker(nullptr);
+    this->on_result(true);
     auto& all = this->idle[server];
-    if (all.size() >= most_kept || !clean(*one))
+    if (all.size() >= max_idle_per_server || !is_reusable(*link))
     {
-        one->close();
+        link->close();
         return;
     }
     auto const until =
         std::chrono::steady_clock::now() + to_chrono(idle_timeout);
-    all.push_back({std::move(one), until});
+    all.push_back({std::move(link), until});
 }
 
-void server_pool::forget(backend_server_id const& server)
+void server_pool::drop(backend_server_id const& server)
 {
     auto const found = this->idle.find(server);
     if (found == this->idle.end())
@@ -121,7 +124,7 @@
     }
     for (auto const& each : found->second)
     {
-        each.one->close();
+        each.link->close();
     }
     this->idle.erase(found);
 }
@@ -132,20 +135,20 @@
     for (auto& [server, all] : this->idle)
     {
         std::erase_if(all,
-                      [now](kept const& each)
+                      [now](idle_connection const& each)
                       {
                           auto const over =
-                              now >= each.until || !clean(*each.one);
+                              now >= each.until || !is_reusable(*each.link);
                           if (over)
                           {
-                              each.one->close();
+                              each.link->close();
                           }
                           return over;
                       });
     }
 }
 
-std::uint64_t server_pool::made() const
+std::uint64_t server_pool::created() const
 {
     return this->connections_made;
 }
--- a/src/gateway/server_pool.hpp
+++ b/src/gateway/server_pool.hpp
@@ -16,55 +16,58 @@
 namespace caperpath::gateway
 {
 
-/// Connections to backend servers. One that is handed out is the taker's alone
-/// until it is given back. Loop thread only.
+/// A pool of connections to backend servers. An acquired connection is used
+/// exclusively until it is released. Loop thread only.
 class server_pool
 {
 public:
-    /// `tried` is told of each server that answered or that nothing came back
-    /// from, in the whole `connect_timeout`.
+    /// `on_result` is called with whether the server responded: `false` if
+    /// nothing came back within the whole `connect_timeout`.
     server_pool(asio::any_io_executor executor,
-                std::function<void(bool answered)> tried);
-
-    /// A kept connection that was used within `max_idle`, or a new one; null if
-    /// none was made in `longest`, at most `connect_timeout`.
-    asio::awaitable<connection_ptr> take(backend_server_id const& server,
-                                         std::string const& address,
-                                         duration max_idle, duration longest);
-
-    /// Keeps a connection whose last exchange ended cleanly, at most for
-    /// `idle_timeout`. @pre nothing is unsent and nothing unread.
-    void give_back(backend_server_id const& server, connection_ptr one,
-                   duration idle_timeout);
-
-    /// Closes the kept ones of a server that is gone or started anew.
-    void forget(backend_server_id const& server);
-
-    /// Closes those that were idle for too long or whose server ended them.
+                std::function<void(bool answered)> on_result);
+
+    /// Returns an idle connection that was used within `max_idle`, or a new
+    /// one; null if connecting failed or took longer than `longest`, at most
+    /// `connect_timeout`.
+    asio::awaitable<connection_ptr> acquire(backend_server_id const& server,
+                                            std::string const& address,
+                                            duration max_idle,
+                                            duration longest);
+
+    /// Keeps a connection whose last exchange ended cleanly, for at most
+    /// `idle_timeout`. @pre no bytes are unsent or unread.
+    void release(backend_server_id const& server, connection_ptr link,
+                 duration idle_timeout);
+
+    /// Closes the idle connections of a server that has ended or was restarted.
+    void drop(backend_server_id const& server);
+
+    /// Closes connections that were idle for too long or that the server
+    /// closed.
     void sweep();
 
-    /// Connections made since the start.
-    std::uint64_t made() const;
+    /// Number of connections made since the start.
+    std::uint64_t created() const;
 
 private:
-    struct kept
+    struct idle_connection
     {
-        connection_ptr one;
+        connection_ptr link;
         time_point until;
     };
 
-    connection_ptr take_kept(backend_server_id const& server,
-                             duration max_idle);
+    connection_ptr acquire_idle(backend_server_id const& server,
+                                duration max_idle);
 
     asio::any_io_executor executor;
-    std::function<void(bool answered)> tried;
-    std::map<backend_server_id, std::vector<kept>> idle;
+    std::function<void(bool answered)> on_result;
+    std::map<backend_server_id, std::vector<idle_connection>> idle;
     std::uint64_t connections_made{};
 };
 
-/// Servers answer a connect within some milliseconds; over a lossy link the
-/// kernel sends its first packet again only after a second, so a new try at
-/// another server is sooner.
+/// Servers accept a connection within milliseconds. If the first packet is
+/// lost, the kernel resends it only after a second, so trying another server is
+/// faster.
 inline constexpr duration connect_timeout{250};
 
 } // namespace caperpath::gateway
--- a/src/gateway/session.cpp
+++ b/src/gateway/session.cpp
@@ -16,42 +16,43 @@
 namespace
 {
 
-/// A caller that acknowledges nothing for so long has left.
-constexpr std::chrono::milliseconds caller_silence{5'000};
-/// A caller's first request follows its connection within a round trip.
-constexpr duration first_request_time{1'000};
-/// How often a stopping process looks whether a connection may be closed.
-constexpr duration stop_look{250};
+/// A caller that acknowledges nothing for this long is treated as disconnected.
+constexpr std::chrono::milliseconds caller_silence_timeout{5'000};
+/// The first request of a caller follows its connection within a round trip.
+constexpr duration first_request_timeout{1'000};
+/// How often a stopping process checks whether a connection may be closed.
+constexpr duration stop_check_interval{250};
 constexpr char continue_line[] = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr int request_timeout = 408;
 constexpr int header_too_large = 431;
-/// A caller that takes nothing of its answer for so long has left.
-constexpr duration linger{500};
-constexpr int most_idle_looks = 2;
-constexpr duration linger_look{linger.ms / most_idle_looks};
-/// However slowly a caller reads, its connection ends.
-constexpr duration longest_rest{30'000};
+/// A caller that accepts no bytes of its response for this long is treated as
+/// disconnected.
+constexpr duration output_timeout{500};
+constexpr int max_idle_checks = 2;
+constexpr duration output_check_interval{output_timeout.ms / max_idle_checks};
+/// Limits how long a slow caller can delay the end of its connection.
+constexpr duration max_drain_time{30'000};
 constexpr unsigned http_11 = 11;
 
 using request_parser = http::request_parser<http::string_body>;
 
 enum class read_end
 {
-    whole,   ///< a request was read
-    refused, ///< what came is no request that may be served
-    closed   ///< the caller left, or was idle for too long
+    whole,    ///< a request was read
+    rejected, ///< invalid, too large or too late
+    closed    ///< the caller disconnected, or was idle for too long
 };
 
-/// One request read off a connection.
-struct reading
+/// The result of reading a request from a connection.
+struct read_result
 {
     read_end end{read_end::closed};
-    refusal why{};
+    rejection why{};
     caller_request request;
     instant arrived{};
 };
 
-refusal parse_refusal(boost::system::error_code fault)
+rejection parse_error_rejection(boost::system::error_code fault)
 {
     if (fault == http::error::header_limit)
     {
@@ -68,20 +69,20 @@
 {
 public:
     caller_session(core& shared, tcp::socket socket)
-        : shared{shared}, sleeper{std::make_shared<waker>(shared.loop)},
-          caller{
-              std::make_shared<connection>(std::move(socket), caller_silence)},
+        : shared{shared}, wakeup{std::make_shared<waker>(shared.loop)},
+          caller{std::make_shared<connection>(std::move(socket),
+                                              caller_silence_timeout)},
           began{shared.now.now()}
     {
-        this->caller->notify(this->sleeper);
+        this->caller->set_waker(this->wakeup);
         this->caller->start();
     }
 
     asio::awaitable<void> run()
     {
-        this->shared.sessions.insert(this->sleeper.get());
-        auto going_on = true;
-        while (going_on)
+        this->shared.sessions.insert(this->wakeup.get());
+        auto keep_open = true;
+        while (keep_open)
         {
             this->shared.idle_callers.insert(this->caller.get());
             auto const more = co_await this->wait_for_request();
@@ -90,15 +91,15 @@
             {
                 break;
             }
-            auto got = co_await this->read();
-            if (got.end == read_end::closed)
+            auto result = co_await this->read();
+            if (result.end == read_end::closed)
             {
                 break;
             }
-            going_on = co_await this->answer(std::move(got));
+            keep_open = co_await this->handle_request(std::move(result));
         }
         co_await this->end();
-        this->shared.sessions.erase(this->sleeper.get());
+        this->shared.sessions.erase(this->wakeup.get());
     }
 
 private:
@@ -111,7 +112,7 @@
     {
         auto const point = std::chrono::steady_clock::now() +
                            std::chrono::milliseconds{(until - this->now()).ms};
-        co_return co_await this->sleeper->wait(point);
+        co_return co_await this->wakeup->wait(point);
     }
 
     fleet::caller_limits limits() const
@@ -120,8 +121,9 @@
                                  : fleet::caller_limits{};
     }
 
-    /// Waits for the first byte. False if there will be none: the caller has
-    /// left or was idle for too long, or this process ends.
+    /// Waits for the first byte of a request. Returns false if none will be
+    /// read: the caller has disconnected or was idle for too long, or this
+    /// process ends.
     asio::awaitable<bool> wait_for_request()
     {
         auto const until = this->now() + this->limits().idle_timeout;
@@ -132,34 +134,34 @@
             {
                 co_return false;
             }
-            auto const look =
-                this->shared.stop ? stop_look : until - this->now();
-            static_cast<void>(co_await this->wait(this->now() + look));
+            auto const interval =
+                this->shared.stop ? stop_check_interval : until - this->now();
+            static_cast<void>(co_await this->wait(this->now() + interval));
         }
         co_return true;
     }
 
-    /// A process that ends closes idle connections. One that was just made is
-    /// about to bring a request: closed without a word, its caller would not
-    /// know whether it ran.
+    /// A stopping process closes idle connections, but not new ones: their
+    /// first request may be in flight, and its caller could not know whether it
+    /// ran.
     bool may_close() const
     {
         auto const& stop = this->shared.stop;
         return stop && this->now() >= stop->out_of_rotation &&
                this->caller->unsent() == 0 &&
-               this->now() - this->began >= first_request_time;
+               this->now() - this->began >= first_request_timeout;
     }
 
-    asio::awaitable<reading> read()
+    asio::awaitable<read_result> read()
     {
-        reading got;
-        got.arrived = this->now();
+        read_result result;
+        result.arrived = this->now();
         auto const bounds = this->limits();
         request_parser parser;
         parser.header_limit(static_cast<std::uint32_t>(bounds.header_bytes));
         parser.body_limit(bounds.body_bytes);
         parser.eager(true);
-        auto until = got.arrived + bounds.header_timeout;
+        auto until = result.arrived + bounds.header_timeout;
         auto continued = false;
         while (true)
         {
@@ -176,42 +178,43 @@
             }
             if (fault && fault != http::error::need_more)
             {
-                got.end = read_end::refused;
-                got.why = parse_refusal(fault);
-                co_return got;
+                result.end = read_end::rejected;
+                result.why = parse_error_rejection(fault);
+                co_return result;
             }
             if (parser.is_header_done() && !continued)
             {
                 continued = true;
                 until = this->now() + bounds.idle_timeout;
-                this->invite_body(parser.get());
+                this->send_continue(parser.get());
             }
             if (this->caller->end() != peer_end::open)
             {
-                co_return got;
+                co_return result;
             }
             auto const& stop = this->shared.stop;
             if (stop && this->now() >= stop->answers_due)
             {
-                got.end = read_end::refused;
-                got.why = {http_unavailable, "stopping", elsewhere_retry};
-                co_return got;
+                result.end = read_end::rejected;
+                result.why = {http_unavailable, "stopping",
+                              stopping_retry_after};
+                co_return result;
             }
             if (this->now() >= until)
             {
-                got.end = read_end::refused;
-                got.why = {request_timeout, "slow_request"};
-                co_return got;
+                result.end = read_end::rejected;
+                result.why = {request_timeout, "slow_request"};
+                co_return result;
             }
             static_cast<void>(co_await this->wait(
                 stop ? std::min(until, stop->answers_due) : until));
         }
-        got.end = read_end::whole;
-        got.request = parser.release();
-        co_return got;
+        result.end = read_end::whole;
+        result.request = parser.release();
+        co_return result;
     }
 
-    void invite_body(caller_request const& head)
+    void send_continue(caller_request const& head)
     {
         auto const expects = head[http::field::expect];
         if (boost::beast::iequals(expects, "100-continue"))
@@ -221,62 +224,67 @@
     }
 
     /// Returns whether another request may follow on this connection.
-    asio::awaitable<bool> answer(reading got)
+    asio::awaitable<bool> handle_request(read_result result)
     {
-        exchange of{this->shared, this->caller, this->sleeper,
-                    std::move(got.request)};
-        of.arrived = got.arrived;
-        of.facts = this->shared.names.read_request(of.request);
-        of.keep_connection = of.request.keep_alive() &&
-                             of.request.version() == http_11 &&
-                             got.end == read_end::whole;
-        if (got.end == read_end::refused)
+        exchange current{this->shared, this->caller, this->wakeup,
+                         std::move(result.request)};
+        current.arrived = result.arrived;
+        current.facts = this->shared.adapter.read_request(current.request);
+        current.keep_connection = current.request.keep_alive() &&
+                                  current.request.version() == http_11 &&
+                                  result.end == read_end::whole;
+        if (result.end == read_end::rejected)
         {
-            this->refused_in_part = true;
-            send_refusal(of, got.why);
-            this->shared.metrics.request_ended(of.reason, of.status);
-            this->shared.log.write(log_weight::notable, "request",
-                                   {{"reason", std::string{of.reason}},
-                                    {"status", std::to_string(of.status)}});
+            this->rejected_early = true;
+            send_rejection(current, result.why);
+            this->shared.metrics.request_ended(current.reason, current.status);
+            this->shared.log.write(
+                log_weight::notable, "request",
+                {{"reason", std::string{current.reason}},
+                 {"status", std::to_string(current.status)}});
             co_return false;
         }
-        co_await serve(of);
-        co_return of.keep_connection;
+        co_await serve(current);
+        co_return current.keep_connection;
     }
 
     asio::awaitable<void> end()
     {
-        co_await this->send_rest();
-        if (this->refused_in_part)
+        co_await this->drain_output();
+        if (this->rejected_early)
         {
-            co_await this->discard_rest(this->now() + linger);
+            co_await this->discard_input(this->now() + output_timeout);
         }
-        this->caller->notify(nullptr);
+        this->caller->set_waker(nullptr);
         this->caller->close();
     }
 
-    /// Waits as long as the caller takes what it is owed.
-    asio::awaitable<void> send_rest()
+    /// Waits until the caller has taken all output, as long as it makes
+    /// progress.
+    asio::awaitable<void> drain_output()
     {
-        // After a loop that was behind the timer can come before what was
-        // written meanwhile, so one look without progress proves nothing.
-        auto const until = this->now() + longest_rest;
-        auto idle_looks = 0;
-        while (this->caller->unsent() > 0 && idle_looks < most_idle_looks &&
+        // If the loop is behind, the timer can fire before writes that
+        // completed earlier are handled, so a single check without progress
+        // proves nothing.
+        auto const until = this->now() + max_drain_time;
+        auto idle_checks = 0;
+        while (this->caller->unsent() > 0 && idle_checks < max_idle_checks &&
                this->caller->end() == peer_end::open && this->now() < until)
         {
             auto const before = this->caller->unsent();
-            auto const raised = co_await this->wait(this->now() + linger_look);
+            auto const raised =
+                co_await this->wait(this->now() + output_check_interval);
             auto const idle = !raised && this->caller->unsent() == before;
-            idle_looks = idle ? idle_looks + 1 : 0;
+            idle_checks = idle ? idle_checks + 1 : 0;
         }
     }
 
-    /// Closed with bytes unread, the connection would be reset and the answer
-    /// could be lost on its way.
-    asio::awaitable<void> discard_rest(instant until)
+    /// Discards input until the caller disconnects or until `until`. Closing
+    /// with unread bytes would reset the connection, and the response could be
+    /// lost.
+    asio::awaitable<void> discard_input(instant until)
     {
-        this->caller->finish_sending();
+        this->caller->shutdown_send();
         while (this->caller->end() == peer_end::open && this->now() < until)
         {
             auto& input = this->caller->input();
@@ -287,11 +295,11 @@
     }
 
     core& shared;
-    waker_ptr sleeper;
+    waker_ptr wakeup;
     connection_ptr caller;
     instant began;
-    bool refused_in_part{
-        false}; ///< an answer went out before the whole request
+    /// A rejection was sent before the whole request was read.
+    bool rejected_early{false};
 };
 
 } // namespace
--- a/src/gateway/session.hpp
+++ b/src/gateway/session.hpp
@@ -11,9 +11,9 @@
 namespace caperpath::gateway
 {
 
-/// Serves one caller's connection until either side ends it: reads one request
-/// after the other and has each answered before the next. Loop thread only.
-/// `shared` outlives it.
+/// Serves the connection of a caller until either side ends it: reads one
+/// request at a time and reads the next after the response. Loop thread only.
+/// `shared` must outlive it.
 asio::awaitable<void> serve_caller(core& shared, tcp::socket socket);
 
 } // namespace caperpath::gateway
