--- a/src/gateway/settings.cpp
+++ b/src/gateway/settings.cpp
@@ -8,19 +8,21 @@
 namespace
 {
 
-constexpr double longest_seconds = 600;
-constexpr double least_retry_window_s = 1;
-/// A router that left is remembered for a little longer than this.
-constexpr double longest_retry_window_s = 60;
-constexpr double most_ratio = 10;
-constexpr double most_repeats = 1'000'000;
+constexpr double max_seconds = 600;
+constexpr double min_retry_window_s = 1;
+/// Routers that have left are remembered for slightly longer than this.
+constexpr double max_retry_window_s = 60;
+constexpr double max_ratio = 10;
+constexpr double max_retry_slack = 1'000'000;
 constexpr double ms_per_second = 1'000;
 
 duration seconds(config::json_reader& reader, char const* key,
                  duration fallback, double least, double longest)
 {
-    auto const usual = static_cast<double>(fallback.ms) / ms_per_second;
-    auto const found = reader.real_or(key, "seconds", least, longest, usual);
+    auto const fallback_seconds =
+        static_cast<double>(fallback.ms) / ms_per_second;
+    auto const found =
+        reader.real_or(key, "seconds", least, longest, fallback_seconds);
     return {std::llround(found * ms_per_second)};
 }
 
@@ -34,8 +36,8 @@
     auto const comma = text.find(',');
     auto const is_number = [](std::string const& part)
     {
-        constexpr std::size_t most_digits = 5;
-        return !part.empty() && part.size() <= most_digits &&
+        constexpr std::size_t max_digits = 5;
+        return !part.empty() && part.size() <= max_digits &&
                part.find_first_not_of("0123456789") == std::string::npos;
     };
     auto const first = text.substr(0, comma);
@@ -56,23 +58,25 @@
                        std::vector<config::fault>& faults)
 {
     config::json_reader reader{value, "", faults};
-    settings all;
-    all.vm = reader.text("vm");
-    all.failure_domain = reader.text("failure_domain");
-    all.callers = reader.listen_address("callers");
-    all.readiness = reader.listen_address("readiness");
-    all.metrics = reader.listen_address("metrics");
-    all.store_address = reader.address("store_address");
-    read_peer_ports(reader, all);
-    all.grace = seconds(reader, "grace_s", all.grace, 0, longest_seconds);
-    all.retries.ratio = reader.real_or("retry_ratio", "repeats per request", 0,
-                                       most_ratio, all.retries.ratio);
-    all.retries.slack = reader.real_or("retry_slack", "repeats in a window", 0,
-                                       most_repeats, all.retries.slack);
-    all.retries.window = seconds(reader, "retry_window_s", all.retries.window,
-                                 least_retry_window_s, longest_retry_window_s);
+    settings parsed;
+    parsed.vm = reader.text("vm");
+    parsed.failure_domain = reader.text("failure_domain");
+    parsed.callers = reader.listen_address("callers");
+    parsed.readiness = reader.listen_address("readiness");
+    parsed.metrics = reader.listen_address("metrics");
+    parsed.store_address = reader.address("store_address");
+    read_peer_ports(reader, parsed);
+    parsed.grace = seconds(reader, "grace_s", parsed.grace, 0, max_seconds);
+    parsed.retries.ratio = reader.real_or("retry_ratio", "retries per request",
+                                          0, max_ratio, parsed.retries.ratio);
+    parsed.retries.slack =
+        reader.real_or("retry_slack", "retries in a window", 0, max_retry_slack,
+                       parsed.retries.slack);
+    parsed.retries.window =
+        seconds(reader, "retry_window_s", parsed.retries.window,
+                min_retry_window_s, max_retry_window_s);
     reader.finish();
-    return all;
+    return parsed;
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/settings.hpp
+++ b/src/gateway/settings.hpp
@@ -20,7 +20,7 @@
     std::string vm;
     std::string failure_domain;
     std::string callers;       ///< "IP:port" where callers connect
-    std::string readiness;     ///< "IP:port" that the balancer asks
+    std::string readiness;     ///< "IP:port" of the readiness check
     std::string metrics;       ///< "IP:port" of the metrics page
     std::string store_address; ///< "IP:port"
     std::int64_t first_peer_port{};
@@ -31,7 +31,8 @@
     friend bool operator==(settings const&, settings const&) = default;
 };
 
-/// Adds every fault of `value`. Thread safe.
+/// Reads the settings and appends each error in `value` to `faults`. Thread
+/// safe.
 settings read_settings(nlohmann::json const& value,
                        std::vector<config::fault>& faults);
 
--- a/src/gateway/table_follower.cpp
+++ b/src/gateway/table_follower.cpp
@@ -16,19 +16,19 @@
 namespace
 {
 
-/// After a lost call: an answer shows that the store is there.
-constexpr duration short_hold_time{100};
-constexpr duration change_answer{350};
-constexpr duration list_answer{800};
-constexpr duration long_transfer{250};
-
-/// True when an answer took long and brought rows that others in it replace.
-/// The store gives each version of a row: on a slow link more of them gather
-/// while one is read, and the newest arrives later and later. The table itself
-/// holds only the newest.
+/// Hold after a lost call, to find out soon whether the store is reachable.
+constexpr duration probe_hold{100};
+constexpr duration poll_timeout{350};
+constexpr duration list_timeout{800};
+constexpr duration slow_transfer{250};
+
+/// True if a transfer was slow and holds several versions of a row. The feed
+/// returns each version: on a slow link more of them accumulate during each
+/// read, and the newest arrives later and later. Reading the table returns only
+/// the newest.
 bool lags_behind(store::feed_page const& page)
 {
-    if (page.cost.took - page.cost.answered < long_transfer)
+    if (page.cost.took - page.cost.answered < slow_transfer)
     {
         return false;
     }
@@ -59,9 +59,10 @@
 void table_follower::list()
 {
     this->listed = false;
-    // In an outage a longer wait only delays the call that ends it.
+    // During an outage a longer timeout only delays the call that detects its
+    // end.
     auto const lost = std::min(this->failures, 1);
-    this->port.list(this->table, answer_limit(list_answer, lost),
+    this->port.list(this->table, answer_limit(list_timeout, lost),
                     [this](std::variant<store::feed_page, error> const& reply)
                     {
                         if (auto const* fault = std::get_if<error>(&reply))
@@ -79,68 +80,69 @@
                     });
 }
 
-void table_follower::renew()
+void table_follower::restart_poll()
 {
     if (!this->held)
     {
         return;
     }
     this->hold = this->listener.hold;
-    this->follow(short_hold_time);
+    this->follow(probe_hold);
     this->held = false;
 }
 
 void table_follower::follow(duration hold)
 {
     this->held = true;
-    this->asked += 1;
-    this->port.follow(
-        this->table, this->version, hold,
-        answer_limit(change_answer, this->missed_changes),
-        [this, hold,
-         call = this->asked](std::variant<store::feed_page, error> const& reply)
-        {
-            if (call != this->asked)
-            {
-                return; // was renewed
-            }
-            this->held = false;
-            if (auto const* fault = std::get_if<error>(&reply))
-            {
-                this->missed_changes += 1;
-                this->retry(*fault);
-                return;
-            }
-            auto const& page = std::get<store::feed_page>(reply);
-            this->failures = 0;
-            this->missed_changes = 0;
-            this->version = page.version;
-            this->listener.reached(true, {});
-            this->listener.changed(page);
-            if (page.rows.empty() && hold == this->hold)
-            {
-                this->hold = next_hold(this->hold, this->listener.longest_hold);
-            }
-            if (lags_behind(page))
-            {
-                this->list();
-                return;
-            }
-            this->follow_on();
-        });
+    this->calls_sent += 1;
+    this->port.follow(this->table, this->version, hold,
+                      answer_limit(poll_timeout, this->lost_polls),
+                      [this, hold, call = this->calls_sent](
+                          std::variant<store::feed_page, error> const& reply)
+                      {
+                          if (call != this->calls_sent)
+                          {
+                              return; // `renew` has replaced this call
+                          }
+                          this->held = false;
+                          if (auto const* fault = std::get_if<error>(&reply))
+                          {
+                              this->lost_polls += 1;
+                              this->retry(*fault);
+                              return;
+                          }
+                          auto const& page = std::get<store::feed_page>(reply);
+                          this->failures = 0;
+                          this->lost_polls = 0;
+                          this->version = page.version;
+                          this->listener.reached(true, {});
+                          this->listener.changed(page);
+                          if (page.rows.empty() && hold == this->hold)
+                          {
+                              this->hold = next_hold(this->hold,
+                                                     this->listener.max_hold);
+                          }
+                          if (lags_behind(page))
+                          {
+                              this->list();
+                              return;
+                          }
+                          this->follow_next();
+                      });
 }
 
-void table_follower::follow_on()
+void table_follower::follow_next()
 {
     if (!this->listener.pause)
     {
         this->follow(this->hold);
         return;
     }
-    this->after(this->listener.pause(), [this] { this->follow(this->hold); });
+    this->schedule(this->listener.pause(),
+                   [this] { this->follow(this->hold); });
 }
 
-void table_follower::after(duration pause, std::function<void()> next)
+void table_follower::schedule(duration pause, std::function<void()> next)
 {
     call_after(this->timer, pause, std::move(next));
 }
@@ -148,7 +150,7 @@
 void table_follower::retry(error const& why)
 {
     auto const history_gone = why.kind == error_kind::not_found;
-    // A dropped history is no outage, and a single lost call is none yet.
+    // A dropped history is not an outage, and neither is a single lost call.
     if (!history_gone && this->failures > 0)
     {
         this->listener.reached(false, why);
@@ -163,20 +165,20 @@
     {
         this->listed = false;
     }
-    auto const drawn = this->salt + static_cast<std::size_t>(this->version) +
-                       static_cast<std::size_t>(this->failures);
+    auto const seed = this->salt + static_cast<std::size_t>(this->version) +
+                      static_cast<std::size_t>(this->failures);
     auto const pause =
-        retry_pause(this->failures, std::hash<std::size_t>{}(drawn));
-    this->after(pause,
-                [this]
-                {
-                    if (this->listed)
-                    {
-                        this->follow(short_hold_time);
-                        return;
-                    }
-                    this->list();
-                });
+        retry_pause(this->failures, std::hash<std::size_t>{}(seed));
+    this->schedule(pause,
+                   [this]
+                   {
+                       if (this->listed)
+                       {
+                           this->follow(probe_hold);
+                           return;
+                       }
+                       this->list();
+                   });
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/table_follower.hpp
+++ b/src/gateway/table_follower.hpp
@@ -13,65 +13,66 @@
 namespace caperpath::gateway
 {
 
-/// A change must be in force within two seconds of its acknowledgement; half of
-/// them are left for the read that follows a silent connection.
-inline constexpr duration usual_hold{600};
+/// A change must take effect within two seconds of its acknowledgement; this
+/// leaves half of that for the read that follows a silent connection.
+inline constexpr duration default_hold{600};
 
-/// Whom a follower tells what it saw.
+/// Callbacks and options of a `table_follower`.
 struct table_listener
 {
-    /// The whole table; what is not in it does not exist.
+    /// The whole table was read; rows that are not in the page do not exist.
     std::function<void(store::feed_page const&)> listed;
 
-    /// Rows that changed.
+    /// Rows changed.
     std::function<void(store::feed_page const&)> changed;
 
-    /// A call was answered, or a second one in a row was not.
+    /// The store responded, or failed to do so twice in a row.
     std::function<void(bool reachable, error const& why)> reached;
 
-    /// The first call that was not answered; if not set, nobody is told.
+    /// A call failed after one that succeeded. Optional.
     std::function<void(error const& why)> missed{};
 
-    /// The pause before the next call for changes, so that a table that changes
-    /// all the time does not cost a call a change; if not set, there is none.
+    /// Delay before the next call for changes, so that a table that changes
+    /// constantly does not cost one call per change. No delay if not set.
     std::function<duration()> pause{};
 
-    /// How long the store holds a call without changes. A connection that went
-    /// silent is noticed after this and the time for an answer.
-    duration hold{usual_hold};
+    /// How long the store holds a call while there are no changes. A connection
+    /// that goes silent is detected after this time plus the response timeout.
+    duration hold{default_hold};
 
-    /// The hold grows up to this while no call is lost; if not set, it does
-    /// not. Less than the time for which the store keeps its history, or a lost
-    /// call reads the table anew.
-    duration longest_hold{};
+    /// The hold grows up to this value while no call is lost; it does not grow
+    /// if this is not set. Must be less than the time for which the store keeps
+    /// its history, or each lost call causes a read of the whole table.
+    duration max_hold{};
 };
 
-/// Keeps up with a table that others write: reads it whole, then follows its
-/// changes. After a lost call it goes on from the version that it knows. When
-/// the store has dropped that part of its history, or after an outage, it reads
-/// the table whole again: a gap that is not noticed leaves a revoked key or a
-/// stopped server in force.
-/// Loop thread only; outlives its calls.
+/// Follows a table that others write: reads it whole, then receives its
+/// changes. After a lost call it continues from the last known version. If the
+/// store has dropped that part of its history, or after an outage, it reads the
+/// whole table again: an unnoticed gap would leave a revoked key or a stopped
+/// server in use.
+///
+/// Loop thread only; must outlive its calls.
 class table_follower
 {
 public:
-    /// `salt` is another one in each router.
+    /// `salt` differs between routers.
     table_follower(boost::asio::any_io_executor const& executor,
                    store::async_port port, std::string table,
                    table_listener listener, std::size_t salt);
 
-    /// Begins; call once.
+    /// Starts to follow the table; call once.
     void start();
 
-    /// Asks again at once if the store holds a call: it may be lost as well
-    /// when another call to the store was.
-    void renew();
+    /// Replaces a pending call for changes at once. Use it after another call
+    /// to the store was lost, since the pending one may be lost too.
+    void restart_poll();
 
 private:
     void list();
     void follow(duration hold);
-    void follow_on();
-    void after(duration pause, std::function<void()> next);
+    void follow_next();
+    void schedule(duration pause, std::function<void()> next);
     void retry(error const& why);
 
     store::async_port port;
@@ -80,12 +81,13 @@
     std::size_t salt;
     boost::asio::steady_timer timer;
     std::uint64_t version{};
-    duration hold{};       ///< of the next call for changes
-    bool held{false};      ///< the store holds a call for changes
-    std::uint64_t asked{}; ///< calls for changes; only the last one counts
-    bool listed{false};    ///< all changes up to `version` are known
-    int failures{};        ///< calls in a row without an answer
-    int missed_changes{};  ///< calls for changes in a row without an answer
+    duration hold{};            ///< for the next call for changes
+    bool held{false};           ///< the store holds a call for changes
+    std::uint64_t calls_sent{}; ///< calls for changes; responses to older ones
+                                ///< are ignored
+    bool listed{false};         ///< all changes up to `version` are known
+    int failures{};             ///< consecutive calls without a response
+    int lost_polls{}; ///< consecutive calls for changes without a response
 };
 
 } // namespace caperpath::gateway
--- a/src/gateway/waker.hpp
+++ b/src/gateway/waker.hpp
@@ -16,9 +16,10 @@
 
 using time_point = std::chrono::steady_clock::time_point;
 
-/// Lets one coroutine sleep until any of several things has happened: input on
-/// a connection, a reply of the store, a timeout. Whoever changed something
-/// calls `raise`; the sleeper then looks at all of it. Loop thread only.
+/// Suspends one coroutine until any of several events occurs: input on a
+/// connection, a reply of the store, a timeout. The code that causes an event
+/// calls `raise`; the coroutine then checks all of its conditions. Loop thread
+/// only.
 class waker
 {
 public:
@@ -26,19 +27,20 @@
     {
     }
 
-    /// Wakes the sleeper, or lets its next `wait` return at once.
+    /// Resumes the waiting coroutine, or makes its next `wait` return at once.
     void raise()
     {
         this->raised = true;
         this->timer.cancel();
     }
 
-    /// Returns false if nothing was raised until `deadline`.
+    /// Returns false if `deadline` passed without a `raise`.
     asio::awaitable<bool> wait(time_point deadline)
     {
         if (!this->raised)
         {
-            boost::system::error_code ignored; // cancelled means raised
+            boost::system::error_code
+                ignored; // cancellation means `raise` was called
             this->timer.expires_at(deadline);
             co_await this->timer.async_wait(
                 asio::redirect_error(asio::use_awaitable, ignored));
--- a/tools/gateway/main.cpp
+++ b/tools/gateway/main.cpp
@@ -23,7 +23,7 @@
 namespace asio = boost::asio;
 
 constexpr int exit_failed = 1;
-/// A call is given up well after a slow store would have answered.
+/// Well above the response time of a slow store.
 constexpr duration store_timeout{800};
 constexpr std::chrono::milliseconds stop_check{50};
 
@@ -33,7 +33,7 @@
     return {vm + "-" + std::to_string(device()) + std::to_string(device())};
 }
 
-/// Ends the loop when a planned stop is over.
+/// Stops the loop once the planned stop has ended.
 void end_when_stopped(asio::io_context& loop, asio::steady_timer& timer,
                       gateway::gateway_server const& serving)
 {
@@ -79,7 +79,7 @@
 
 int serve(gateway::settings const& settings)
 {
-    // A caller that closes its connection must not end the process.
+    // A write to a closed connection must not end the process.
     std::signal(SIGPIPE, SIG_IGN);
     constexpr int one_thread = 1;
     asio::io_context loop{one_thread};
@@ -114,8 +114,8 @@
     loop.run();
     serving.answer_overdue();
     serving.flush_log();
-    // Requests that are open beyond the grace time refer to the gateway from
-    // the loop, and neither can be destroyed before the other.
+    // Requests that are still open hold references to the gateway, and the loop
+    // holds the requests, so neither can be destroyed first.
     std::quick_exit(0);
 }
 
