--- a/src/gateway/connection.cpp
+++ b/src/gateway/connection.cpp
@@ -67,7 +67,7 @@
     return this->input_buffer;
 }
 
-void connection::shutdown_send()
+void connection::shutdown_output()
 {
     boost::system::error_code ignored; // fails if the peer has disconnected
     this->socket.shutdown(tcp::socket::shutdown_send, ignored);
--- a/src/gateway/connection.hpp
+++ b/src/gateway/connection.hpp
@@ -52,7 +52,7 @@
 
     /// Shuts down the sending side; the peer may still send. Unsent bytes are
     /// lost.
-    void shutdown_send();
+    void shutdown_output();
 
     /// True if unconsumed input is left.
     bool has_input() const;
--- a/src/gateway/core.hpp
+++ b/src/gateway/core.hpp
@@ -58,7 +58,7 @@
     fleet::engine_speed speed;
     fleet::retry_window retries;
     peer_link peers;
-    membership_tracker roster;
+    membership_tracker membership;
     budget_book budgets;
     fleet::own_link uplink;
     server_pool pool;
--- a/src/gateway/crash_check.cpp
+++ b/src/gateway/crash_check.cpp
@@ -67,13 +67,13 @@
         }
         co_return *existing->gone;
     }
-    auto const started = std::make_shared<probe>(this->executor);
-    started->finished.expires_at(asio::steady_timer::time_point::max());
-    started->started_at = this->now.now();
-    this->probes[server] = started;
-    started->gone = co_await this->is_refused(address);
-    started->finished.cancel();
-    co_return *started->gone;
+    auto const new_probe = std::make_shared<probe>(this->executor);
+    new_probe->finished.expires_at(asio::steady_timer::time_point::max());
+    new_probe->started_at = this->now.now();
+    this->probes[server] = new_probe;
+    new_probe->gone = co_await this->is_refused(address);
+    new_probe->finished.cancel();
+    co_return *new_probe->gone;
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/dispatch.cpp
+++ b/src/gateway/dispatch.cpp
@@ -87,7 +87,7 @@
     auto& shared = current.shared;
     return current.possible_deliveries == 0 ||
            shared.retries.take(current.work.service,
-                               shared.roster.retry_sharers(),
+                               shared.membership.retry_sharers(),
                                shared.boot_time.now());
 }
 
@@ -229,7 +229,7 @@
         current.server = where->server.value;
         auto lost_connection = false;
         {
-            suspect_guard const counted{current, where->server};
+            suspect_guard const guard{current, where->server};
             server_call call{current, *where};
             end = co_await call.run();
             lost_connection = call.lost_connection();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -90,7 +90,7 @@
     this->shared.budgets.start();
     this->sites->start();
     this->servers->start();
-    this->shared.roster.start();
+    this->shared.membership.start();
     this->shared.crashes.start();
     this->last_tick = this->shared.now.now();
     this->tick();
@@ -186,19 +186,20 @@
         auto const status = is_metrics || this->ready()
                                 ? http::status::ok
                                 : http::status::service_unavailable;
-        http::response<http::string_body> answer{status, request.version()};
-        answer.set(http::field::content_type, "text/plain");
+        http::response<http::string_body> response{status, request.version()};
+        response.set(http::field::content_type, "text/plain");
         if (is_metrics)
         {
-            answer.body() = this->shared.metrics.render();
+            response.body() = this->shared.metrics.render();
         }
-        answer.keep_alive(request.keep_alive());
-        answer.prepare_payload();
+        response.keep_alive(request.keep_alive());
+        response.prepare_payload();
         co_await http::async_write(
-            stream, answer, asio::redirect_error(asio::use_awaitable, fault));
-        keep_open = !fault && answer.keep_alive();
+            stream, response, asio::redirect_error(asio::use_awaitable, fault));
+        keep_open = !fault && response.keep_alive();
     }
 }
+
 bool gateway_server::ready() const
 {
     if (this->shared.stop || !this->shared.site || !this->shared.servers_listed)
@@ -234,9 +235,8 @@
 
 void gateway_server::reload()
 {
-    this->shared.log.write(
-        log_weight::notable, "reload",
-        {{"outcome", "new settings take effect at the next start"}});
+    this->shared.log.write(log_weight::notable, "reload",
+                           {{"outcome", "settings count from the next start"}});
 }
 
 void gateway_server::answer_overdue()
@@ -309,7 +309,7 @@
 void gateway_server::report_retries()
 {
     auto const now = this->shared.boot_time.now();
-    auto const sharers = this->shared.roster.retry_sharers();
+    auto const sharers = this->shared.membership.retry_sharers();
     auto const changed = sharers != this->reported_sharers;
     if (!changed && now - this->retries_reported_at < retry_report_interval)
     {
@@ -318,7 +318,7 @@
     this->retries_reported_at = now;
     if (changed)
     {
-        auto const read_age = this->shared.roster.read_age();
+        auto const read_age = this->shared.membership.read_age();
         this->shared.log.write(
             log_weight::notable, "repeat_limit",
             {{"sharers", std::to_string(sharers)},
@@ -349,11 +349,11 @@
     }
     this->report_retries();
     this->shared.uplink = fleet::looked_at(this->shared.uplink, now);
-    this->shared.budgets.note_routers(this->shared.roster.alive_vms());
-    if (this->shared.roster.completed_reads() != this->membership_reads)
+    this->shared.budgets.note_routers(this->shared.membership.alive_vms());
+    if (this->shared.membership.completed_reads() != this->membership_reads)
     {
-        this->membership_reads = this->shared.roster.completed_reads();
-        this->shared.budgets.note_peers(this->shared.roster.live_routers());
+        this->membership_reads = this->shared.membership.completed_reads();
+        this->shared.budgets.note_peers(this->shared.membership.live_routers());
     }
     this->shared.metrics.lines_dropped(this->shared.log.dropped());
     if (this->ready() != this->was_ready)
@@ -371,7 +371,7 @@
         this->shared.returning_since = now;
         this->wake_sessions();
         this->shared.budgets.close();
-        this->shared.roster.remove_own_row();
+        this->shared.membership.remove_own_row();
     }
     call_after(this->timer, tick_interval, [this] { this->tick(); });
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -43,9 +43,9 @@
     /// limits) take effect at the next start; open requests are not affected.
     void reload();
 
-    /// Rejects the open requests whose deadline has passed: if the loop is
-    /// behind, the process may reach its end before their timers fire. Call
-    /// after the loop has ended; runs it for a short time. @pre `stopped()`.
+    /// Rejects the requests that are still open: if the loop is behind, the
+    /// process may reach its end before their timers fire. Call after the loop
+    /// has ended; runs it for a short time. @pre `stopped()`.
     void answer_overdue();
 
     /// Writes the rest of the log. Call after the loop has ended.
@@ -90,9 +90,7 @@
     instant site_known_at{};
     instant retries_reported_at{};
     std::int64_t reported_sharers{};
-    std::uint64_t
-        membership_reads{}; ///< value of `membership_tracker::completed_reads`
-                            ///< last seen
+    std::uint64_t membership_reads{}; ///< reads that were handled
     bool was_reachable{true};
     bool was_ready{false};
     instant last_tick{};
--- a/src/gateway/http_call.cpp
+++ b/src/gateway/http_call.cpp
@@ -80,7 +80,7 @@
                        if (fault)
                        {
                            result.sent = true;
-                           result.detail = "exception during the call";
+                           result.detail = "failed with an exception";
                        }
                        done(std::move(result));
                    });
--- a/src/gateway/server_call.cpp
+++ b/src/gateway/server_call.cpp
@@ -224,17 +224,17 @@
 std::optional<attempt_end> server_call::parse_input()
 {
     auto& input = this->connection->input();
-    std::array<char, parse_buffer_size> part{};
+    std::array<char, parse_buffer_size> buffer{};
     while (input.size() > 0 && !this->response->is_done())
     {
         auto& content = this->response->get().body();
-        content.data = part.data();
-        content.size = part.size();
+        content.data = buffer.data();
+        content.size = buffer.size();
         content.more = true;
         boost::system::error_code fault;
         auto const used = this->response->put(input.data(), fault);
         input.consume(used);
-        this->body.append(part.data(), part.size() - content.size);
+        this->body.append(buffer.data(), buffer.size() - content.size);
         if (fault == http::error::need_more)
         {
             break;
@@ -243,7 +243,7 @@
         {
             return attempt_end::in_doubt; // not a valid response
         }
-        if (used == 0 && content.size == part.size())
+        if (used == 0 && content.size == buffer.size())
         {
             break;
         }
@@ -262,7 +262,7 @@
 /// True if the response is interim or belongs to another request: a server may
 /// respond twice to an earlier request of this connection, and that response
 /// must not be taken for this one.
-bool server_call::skips_response()
+bool server_call::must_skip_response()
 {
     auto const& head = this->response->get();
     this->facts =
@@ -286,7 +286,7 @@
         }
         if (this->response->is_header_done())
         {
-            skipping = skipping || this->skips_response();
+            skipping = skipping || this->must_skip_response();
             if (!skipping)
             {
                 co_return this->evaluate_head();
@@ -352,7 +352,7 @@
     return fleet::may_send_again(state, attempt_end::failed) &&
            this->current.deadline - now > this->where.expected &&
            shared.retries.allows(this->current.work.service,
-                                 shared.roster.retry_sharers(),
+                                 shared.membership.retry_sharers(),
                                  shared.boot_time.now());
 }
 
@@ -383,4 +383,5 @@
         this->counted_unread = false;
     }
 }
+
 } // namespace caperpath::gateway
--- a/src/gateway/server_call.hpp
+++ b/src/gateway/server_call.hpp
@@ -43,7 +43,7 @@
     asio::awaitable<fleet::attempt_end> relay_events();
     std::optional<fleet::attempt_end> parse_input();
     std::optional<fleet::attempt_end> early_end();
-    bool skips_response();
+    bool must_skip_response();
     void start_response(bool chunked);
     void relay_part(std::string const& part);
     bool may_fail_over();
--- a/src/gateway/session.cpp
+++ b/src/gateway/session.cpp
@@ -284,7 +284,7 @@
     /// lost.
     asio::awaitable<void> discard_input(instant until)
     {
-        this->caller->shutdown_send();
+        this->caller->shutdown_output();
         while (this->caller->end() == peer_end::open && this->now() < until)
         {
             auto& input = this->caller->input();
--- a/src/gateway/settings.cpp
+++ b/src/gateway/settings.cpp
@@ -67,10 +67,10 @@
     parsed.store_address = reader.address("store_address");
     read_peer_ports(reader, parsed);
     parsed.grace = seconds(reader, "grace_s", parsed.grace, 0, max_seconds);
-    parsed.retries.ratio = reader.real_or("retry_ratio", "retries per request",
+    parsed.retries.ratio = reader.real_or("retry_ratio", "repeats per request",
                                           0, max_ratio, parsed.retries.ratio);
     parsed.retries.slack =
-        reader.real_or("retry_slack", "retries in a window", 0, max_retry_slack,
+        reader.real_or("retry_slack", "repeats in a window", 0, max_retry_slack,
                        parsed.retries.slack);
     parsed.retries.window =
         seconds(reader, "retry_window_s", parsed.retries.window,
--- a/src/gateway/table_follower.cpp
+++ b/src/gateway/table_follower.cpp
@@ -102,7 +102,7 @@
                       {
                           if (call != this->calls_sent)
                           {
-                              return; // `renew` has replaced this call
+                              return; // replaced by `restart_poll`
                           }
                           this->held = false;
                           if (auto const* fault = std::get_if<error>(&reply))
