--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -76,8 +76,7 @@
     fleet::crash_evidence evidence; ///< as known at the latest send
     bool on_probation{false}; ///< holds the probation slot of its fingerprint
     bool server_crashed{false};
-    std::int64_t
-        possible_deliveries{}; ///< sends that a server may have received
+    std::int64_t possible_deliveries{}; ///< sends that may have arrived
     fleet::event_scan events;
     bool response_started{false};
     duration reserve_wait{};    ///< time spent on reserving tokens
