--- a/tests/budget/answered_test.cpp
+++ b/tests/budget/answered_test.cpp
@@ -16,12 +16,12 @@
 incarnation_id const dead{"vm-1-a"};
 constexpr token_count drawn = 400;
 
-bill const kept{{"k-1"}, {"taller"}, name, 30, 10, 20, 1, true};
+bill const kept_bill{{"k-1"}, {"taller"}, name, 30, 10, 20, 1, true};
 
-// A holder with a share of 400 of 1,000 tokens that has kept one answer.
-struct world
+// A holder with a share of 400 of 1,000 tokens that has stored one response.
+struct scenario
 {
-    world()
+    scenario()
     {
         top_up(this->port, name, "first", 1'000).value();
         this->holder =
@@ -36,20 +36,22 @@
               {share_key(name, dead), encode(share_row{drawn, 0})}}});
     }
 
-    // As the end of a claim writes it, refused once the holder is fenced.
-    store::commit_outcome keep_answer()
+    // Writes the bill as the end of a claim does; rejected once the holder is
+    // fenced.
+    store::commit_outcome store_response()
     {
         return this->port
             .commit({{{holder_key(dead), this->holder.version}},
-                     {{answered_key(dead, kept), encode(std::vector{kept})}}})
+                     {{answered_key(dead, kept_bill),
+                       encode(std::vector{kept_bill})}}})
             .outcome;
     }
 
     void settle()
     {
         settlement_state state;
-        state = queue_bill(state, kept, config::budget_policy::overspend_first,
-                           {}, {});
+        state = queue_bill(state, kept_bill,
+                           config::budget_policy::overspend_first, {}, {});
         auto const step = next_batch(state, this->holder, {}, {}, true);
         this->port.commit(*step.txn);
     }
@@ -69,10 +71,10 @@
 
 void check_billed_once(audit const& found)
 {
-    CPPUNIT_ASSERT_EQUAL(kept.tokens, found.billed);
-    CPPUNIT_ASSERT_EQUAL(kept.tokens, found.spent);
-    CPPUNIT_ASSERT_EQUAL(kept.tokens, found.row.granted);
-    CPPUNIT_ASSERT_EQUAL(1, found.bills.at(kept.request));
+    CPPUNIT_ASSERT_EQUAL(kept_bill.tokens, found.billed);
+    CPPUNIT_ASSERT_EQUAL(kept_bill.tokens, found.spent);
+    CPPUNIT_ASSERT_EQUAL(kept_bill.tokens, found.row.granted);
+    CPPUNIT_ASSERT_EQUAL(1, found.bills.at(kept_bill.request));
 }
 
 } // namespace
@@ -80,51 +82,55 @@
 class answered_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(answered_test);
-    CPPUNIT_TEST(a_death_before_the_settlement_loses_no_bill);
+    CPPUNIT_TEST(a_crash_before_the_settlement_loses_no_bill);
     CPPUNIT_TEST(a_settled_bill_is_not_written_again);
-    CPPUNIT_TEST(a_claim_written_after_its_bill_adds_none);
-    CPPUNIT_TEST(a_late_writer_adds_none);
+    CPPUNIT_TEST(a_claim_written_after_its_bill_adds_no_bill);
+    CPPUNIT_TEST(a_late_writer_adds_no_bill);
     CPPUNIT_TEST_SUITE_END();
 
-    // A router keeps an answer and dies before it settles the bill. The answer
-    // is repeated to whoever asks, and the customer would not have paid for it.
-    void a_death_before_the_settlement_loses_no_bill()
+    // A router stores a response and dies before it settles the bill. Guards
+    // against losing the bill: retries get the stored response, and the
+    // customer would not have paid for it.
+    void a_crash_before_the_settlement_loses_no_bill()
     {
-        world here;
-        here.keep_answer();
+        scenario here;
+        here.store_response();
         check_billed_once(here.recovered());
         check_billed_once(here.recovered());
     }
 
-    // The usual case: settled, and then the router dies. Recovery must not bill
-    // the customer a second time.
+    // A router settles a bill and dies. Guards against a recovery that bills
+    // the customer again.
     void a_settled_bill_is_not_written_again()
     {
-        world here;
-        here.keep_answer();
+        scenario here;
+        here.store_response();
         here.settle();
-        CPPUNIT_ASSERT(here.table->read({answered_key(dead, kept)}).empty());
+        CPPUNIT_ASSERT(
+            here.table->read({answered_key(dead, kept_bill)}).empty());
         check_billed_once(here.recovered());
     }
 
-    // The store loses the end of a claim and it is written again after the bill
-    // has been settled. The row that it brings along is late.
-    void a_claim_written_after_its_bill_adds_none()
+    // The store loses the end of a claim, which is retried after its bill has
+    // been settled. Guards against billing the late row again.
+    void a_claim_written_after_its_bill_adds_no_bill()
     {
-        world here;
+        scenario here;
         here.settle();
-        here.keep_answer();
+        here.store_response();
         check_billed_once(here.recovered());
-        CPPUNIT_ASSERT(here.table->read({answered_key(dead, kept)}).empty());
+        CPPUNIT_ASSERT(
+            here.table->read({answered_key(dead, kept_bill)}).empty());
     }
 
-    // A paused router wakes after its share was taken back and writes on. What
-    // it writes now would spend tokens that others have been given.
-    void a_late_writer_adds_none()
+    // A paused router resumes after its share was recovered and goes on
+    // writing. Guards against accepting these writes: they would spend tokens
+    // that other routers hold.
+    void a_late_writer_adds_no_bill()
     {
-        world here;
+        scenario here;
         here.recovered();
-        CPPUNIT_ASSERT(here.keep_answer() == store::commit_outcome::refused);
+        CPPUNIT_ASSERT(here.store_response() == store::commit_outcome::refused);
         here.settle();
         auto const found = audit_of(*here.table, name);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, found.billed);
--- a/tests/budget/audit.hpp
+++ b/tests/budget/audit.hpp
@@ -11,7 +11,7 @@
 namespace caperpath::budget
 {
 
-/// What the whole table says about one budget.
+/// The sums over all rows of one budget.
 struct audit
 {
     budget_row row;
@@ -26,7 +26,7 @@
 
 constexpr std::size_t whole_table = 1'000'000;
 
-/// Adds up the rows of `budget`. Throws when a row cannot be read.
+/// Adds up the rows of `budget`. Throws if a row cannot be decoded.
 inline audit audit_of(store::memory_table const& table, budget_id const& budget)
 {
     audit found;
@@ -73,8 +73,9 @@
     return found;
 }
 
-/// The formula of `rows.hpp`, that `retired` is made up of what former holders
-/// spent and of what is held, and that each request is billed once.
+/// Returns whether the formula of `rows.hpp` holds, `retired` is the sum of
+/// what former holders spent and of what is held back, and each request is
+/// billed once.
 inline bool upholds_formula(audit const& found)
 {
     auto const once =
--- a/tests/budget/distribution_test.cpp
+++ b/tests/budget/distribution_test.cpp
@@ -15,17 +15,17 @@
 class distribution_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(distribution_test);
-    CPPUNIT_TEST(a_count_fades);
-    CPPUNIT_TEST(most_of_a_budget_is_spread_before_anybody_asks);
-    CPPUNIT_TEST(a_small_budget_lies_at_few_routers_in_useful_parts);
-    CPPUNIT_TEST(a_router_with_much_traffic_of_all_gets_more);
-    CPPUNIT_TEST(callers_that_stay_at_a_router_are_followed);
-    CPPUNIT_TEST(a_quarter_stays_in_the_row_for_after_a_crash);
+    CPPUNIT_TEST(a_count_decays);
+    CPPUNIT_TEST(most_of_a_budget_is_distributed_before_requests);
+    CPPUNIT_TEST(a_small_budget_is_split_into_usable_parts);
+    CPPUNIT_TEST(a_router_with_more_traffic_gets_more);
+    CPPUNIT_TEST(tokens_follow_callers_that_stay_at_a_router);
+    CPPUNIT_TEST(a_quarter_stays_in_the_row_for_a_crash);
     CPPUNIT_TEST(one_router_does_not_get_a_whole_budget);
-    CPPUNIT_TEST(a_settled_fleet_moves_nothing);
-    CPPUNIT_TEST(no_more_is_sent_than_is_there);
-    CPPUNIT_TEST(a_cut_of_all_routers_refuses_few);
-    CPPUNIT_TEST(those_with_most_are_asked_first);
+    CPPUNIT_TEST(a_balanced_fleet_moves_nothing);
+    CPPUNIT_TEST(no_more_is_sent_than_is_available);
+    CPPUNIT_TEST(a_partition_of_all_routers_rejects_few);
+    CPPUNIT_TEST(routers_with_most_tokens_are_recalled_first);
     CPPUNIT_TEST(coordinators_change_only_with_their_vm);
     CPPUNIT_TEST_SUITE_END();
 
@@ -50,8 +50,9 @@
         return stock;
     }
 
-    /// Carries the moves out, as a coordinator that has all it needs.
-    static void carry_out(budget_stock& stock, distribution const& plan)
+    /// Applies the moves of `plan`, as a coordinator that can draw all it
+    /// needs.
+    static void apply_moves(budget_stock& stock, distribution const& plan)
     {
         stock.pool += stock.ungranted;
         stock.ungranted = 0;
@@ -63,7 +64,7 @@
         stock.own.free = stock.pool;
     }
 
-    static token_count all_of(budget_stock const& stock)
+    static token_count total_tokens(budget_stock const& stock)
     {
         return std::accumulate(stock.routers.begin(), stock.routers.end(),
                                stock.pool + stock.ungranted,
@@ -71,7 +72,8 @@
                                { return sum + entry.second.free; });
     }
 
-    void a_count_fades()
+    // Guards against old requests that count like recent ones.
+    void a_count_decays()
     {
         auto const once = counted({}, start);
         CPPUNIT_ASSERT_EQUAL(1.0, value_at(once, start));
@@ -80,30 +82,32 @@
         CPPUNIT_ASSERT(value_at(twice, start + duration{60'000}) < 0.01);
     }
 
-    // Guards against a fleet that is cut off from its store with most of each
-    // budget in it.
-    void most_of_a_budget_is_spread_before_anybody_asks()
+    // Guards against a fleet that loses its store while most of each budget is
+    // still in it.
+    void most_of_a_budget_is_distributed_before_requests()
     {
         auto stock = idle_fleet(fleet, 30'000'000, 3'000);
-        carry_out(stock, distribute(stock));
+        apply_moves(stock, distribute(stock));
         for (auto const& [router, one] : stock.routers)
         {
             CPPUNIT_ASSERT(one.free > 30'000'000 / 2 / 295);
         }
     }
 
-    // Guards against a small budget in parts that no request fits into.
-    void a_small_budget_lies_at_few_routers_in_useful_parts()
+    // Guards against splitting a small budget into parts that are too small for
+    // any request.
+    void a_small_budget_is_split_into_usable_parts()
     {
         auto stock = idle_fleet(fleet, 300'000, 3'000);
-        carry_out(stock, distribute(stock));
-        auto const useful = std::count_if(
+        apply_moves(stock, distribute(stock));
+        auto const usable = std::count_if(
             stock.routers.begin(), stock.routers.end(),
             [](auto const& entry) { return entry.second.free >= 3'000; });
-        CPPUNIT_ASSERT(useful >= 70);
+        CPPUNIT_ASSERT(usable >= 70);
     }
 
-    void a_router_with_much_traffic_of_all_gets_more()
+    // Guards against equal parts for routers with unequal traffic.
+    void a_router_with_more_traffic_gets_more()
     {
         auto stock = idle_fleet(4, 1'000'000, 1'000);
         stock.routers[name(1)].all_requests = 90;
@@ -113,9 +117,9 @@
         CPPUNIT_ASSERT(parts.at(name(3)) > 0);
     }
 
-    // Guards against a customer whose callers are all at one router, and whose
-    // budget lies evenly at all.
-    void callers_that_stay_at_a_router_are_followed()
+    // Guards against a customer whose callers are all at one router and whose
+    // budget is spread evenly over all.
+    void tokens_follow_callers_that_stay_at_a_router()
     {
         auto stock = idle_fleet(fleet, 10'000'000, 3'000);
         for (auto& [router, one] : stock.routers)
@@ -127,9 +131,9 @@
         CPPUNIT_ASSERT(expected_parts(stock).at(name(7)) > 0.2);
     }
 
-    // Guards against a fleet that is killed in an outage of its store, holds
-    // all of a budget, and serves less than a quarter of what comes afterwards.
-    void a_quarter_stays_in_the_row_for_after_a_crash()
+    // Guards against a fleet that holds all of a budget, is killed in an outage
+    // of its store, and can serve less than a quarter of the later requests.
+    void a_quarter_stays_in_the_row_for_a_crash()
     {
         auto const stock = idle_fleet(89, 4'000'000, 3'000);
         auto const plan = distribute(stock);
@@ -143,7 +147,7 @@
     }
 
     // Guards against a customer that loses most of its budget with the one
-    // router that its callers are at.
+    // router that its callers use.
     void one_router_does_not_get_a_whole_budget()
     {
         auto stock = idle_fleet(fleet, 20'000'000, 3'000);
@@ -152,31 +156,34 @@
             one.all_requests = 60;
         }
         stock.routers[name(7)].requests = 100;
-        carry_out(stock, distribute(stock));
+        apply_moves(stock, distribute(stock));
+        // A few times what a hundred requests in ten seconds need.
         // Some times what a hundred requests in ten seconds need.
         CPPUNIT_ASSERT(stock.routers[name(7)].free >= 300'000);
         CPPUNIT_ASSERT(stock.routers[name(7)].free <= 1'500'000);
     }
 
-    // Guards against tokens that go round between routers for ever.
-    void a_settled_fleet_moves_nothing()
+    // Guards against tokens that circulate between routers forever.
+    void a_balanced_fleet_moves_nothing()
     {
         auto stock = idle_fleet(fleet, 30'000'000, 3'000);
         for (int round = 0; round < 3; ++round)
         {
-            carry_out(stock, distribute(stock));
+            apply_moves(stock, distribute(stock));
         }
         CPPUNIT_ASSERT(distribute(stock).moves.empty());
     }
 
-    void no_more_is_sent_than_is_there()
+    // Guards against a plan that moves more tokens than the coordinator or a
+    // router has.
+    void no_more_is_sent_than_is_available()
     {
         CPPUNIT_ASSERT(rc::check(
             []
             {
-                auto const count = [](int most)
+                auto const count = [](int limit)
                 {
-                    return static_cast<double>(*rc::gen::inRange(0, most));
+                    return static_cast<double>(*rc::gen::inRange(0, limit));
                 };
                 auto stock = idle_fleet(
                     static_cast<std::size_t>(*rc::gen::inRange(2, 40)),
@@ -198,25 +205,25 @@
                     RC_ASSERT(left >= 0);
                 }
                 RC_ASSERT(given <= stock.pool + stock.ungranted);
-                RC_ASSERT(plan.pool_target <= all_of(stock));
+                RC_ASSERT(plan.pool_target <= total_tokens(stock));
             }));
     }
 
-    // The load that this answers: 295 routers, 40 customers of sizes 1/n, heavy
-    // requests, callers anywhere; after some seconds all routers are cut from
-    // the store and from each other for 8 s. Guards against refusals with
-    // tokens unspent at routers that need none.
-    void a_cut_of_all_routers_refuses_few()
+    // 295 routers, 40 customers of sizes 1/n, large requests, callers at random
+    // routers; after some seconds all routers are cut off from the store and
+    // from each other for 8 s. Guards against rejections with tokens unspent at
+    // routers that do not need them.
+    void a_partition_of_all_routers_rejects_few()
     {
         constexpr double requests_a_second = 1'276;
         constexpr double seconds_a_day = 34;
-        constexpr double before_cut = 5;
-        constexpr double cut = 8;
+        constexpr double before_partition = 5;
+        constexpr double partition = 8;
         constexpr double paid_part = 1.3;
         constexpr double mean = 3'000;
         constexpr int customers = 40;
         constexpr double all_requests =
-            requests_a_second * before_cut / static_cast<double>(fleet);
+            requests_a_second * before_partition / static_cast<double>(fleet);
         std::mt19937 random{7};
         std::lognormal_distribution<double> size{std::log(mean) - 0.72, 1.2};
         std::uniform_int_distribution<std::size_t> router{0, fleet - 1};
@@ -235,7 +242,7 @@
                            static_cast<token_count>(rate * seconds_a_day *
                                                     mean * paid_part),
                            mean);
-            carry_out(stock, distribute(stock));
+            apply_moves(stock, distribute(stock));
             stock.own.all_requests = all_requests;
             for (auto& [vm, one] : stock.routers)
             {
@@ -252,19 +259,21 @@
                          tokens);
                 }
             };
+            // While routers reach each other, a router with a shortage gets
+            // tokens.
             // While routers reach each other, who lacks tokens is given some.
-            arrivals(before_cut,
+            arrivals(before_partition,
                      [&](router_stock& one, token_count tokens)
                      {
                          one.requests += 1;
-                         auto const lack =
+                         auto const shortage =
                              std::max<token_count>(0, tokens - one.free);
-                         stock.pool -= lack;
-                         one.free += lack - tokens;
+                         stock.pool -= shortage;
+                         one.free += shortage - tokens;
                      });
             stock.pool = std::max<token_count>(0, stock.pool);
-            carry_out(stock, distribute(stock));
-            arrivals(cut,
+            apply_moves(stock, distribute(stock));
+            arrivals(partition,
                      [&](router_stock& one, token_count tokens)
                      {
                          asked += 1;
@@ -278,7 +287,8 @@
         CPPUNIT_ASSERT(served > asked * 88 / 100);
     }
 
-    void those_with_most_are_asked_first()
+    // Guards against recalling tokens from more routers than necessary.
+    void routers_with_most_tokens_are_recalled_first()
     {
         auto stock = idle_fleet(5, 0, 1'000);
         stock.routers[name(1)].free = 100;
@@ -290,8 +300,8 @@
         CPPUNIT_ASSERT(asked[1] == (token_move{name(3), -300}));
     }
 
-    // Guards against a fleet in which each router that comes or goes changes
-    // who looks after all budgets.
+    // Guards against a fleet in which each router that joins or leaves changes
+    // the coordinators of all budgets.
     void coordinators_change_only_with_their_vm()
     {
         std::vector<vm_id> vms;
--- a/tests/budget/share_end_test.cpp
+++ b/tests/budget/share_end_test.cpp
@@ -5,16 +5,16 @@
 using namespace caperpath;
 using namespace caperpath::budget;
 
-/// Who holds what is left of a budget, and how requests end when nothing is.
+/// Who holds the rest of a budget, and how requests end when nothing is left.
 class share_end_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(share_end_test);
     CPPUNIT_TEST(a_holder_with_all_the_traffic_takes_most_of_the_rest);
     CPPUNIT_TEST(a_holder_with_little_of_the_traffic_takes_little);
-    CPPUNIT_TEST(few_holders_keep_half_of_what_another_wants);
+    CPPUNIT_TEST(few_holders_keep_half_if_another_requests_tokens);
     CPPUNIT_TEST(a_tiny_return_is_not_written);
-    CPPUNIT_TEST(after_a_wait_in_vain_the_next_is_refused_at_once);
-    CPPUNIT_TEST(a_row_that_stays_unchanged_ends_the_waits);
+    CPPUNIT_TEST(after_an_unmet_wait_the_next_is_rejected_at_once);
+    CPPUNIT_TEST(an_unchanged_row_ends_the_waits);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant start{100'000};
@@ -34,7 +34,7 @@
         return sizes;
     }
 
-    /// A holder of `held` tokens that has seen the budget row just now.
+    /// A holder of `held` tokens that has just read the budget row.
     static share_state with_row(budget_row const& row, token_count held)
     {
         auto state = make_share(taller, policy, by_traffic());
@@ -56,7 +56,8 @@
         return row;
     }
 
-    /// What the next write changes in the share; 0 if there is none.
+    /// Returns by how much the next write changes the share; 0 if there is
+    /// none.
     static token_count moved(share_state const& state)
     {
         auto const step = next_step(state, holder, start);
@@ -65,9 +66,10 @@
                    : 0;
     }
 
-    // All callers of a customer are connected to one router of nine. Held to an
-    // even part, it ran out 2 s into an outage of 8 s while half of the budget
-    // was in nobody's share, and 582 of its callers were refused.
+    // All callers of a customer are connected to one router of nine. Guards
+    // against limiting it to an even part: in an outage of 8 s its share ran
+    // out after 2 s while half of the budget was in no share, and 582 callers
+    // were rejected.
     void a_holder_with_all_the_traffic_takes_most_of_the_rest()
     {
         auto state = with_row(row_of(8'000'000, 6'400'000, 9), 100'000);
@@ -76,6 +78,8 @@
         CPPUNIT_ASSERT(moved(state) >= 1'500'000);
     }
 
+    // Guards against a router with little traffic that takes the tokens which
+    // the others need.
     void a_holder_with_little_of_the_traffic_takes_little()
     {
         auto state = with_row(row_of(8'000'000, 6'400'000, 9), 20'000);
@@ -87,28 +91,32 @@
         CPPUNIT_ASSERT(moved(state) <= most);
     }
 
-    // Two routers have traffic at the end of a budget. Were each to give all
-    // back whenever the other one waits, both would draw it again at once.
-    void few_holders_keep_half_of_what_another_wants()
+    // Two routers have traffic at the end of a budget. Guards against each
+    // returning all its tokens whenever the other waits: both would draw them
+    // again at once.
+    void few_holders_keep_half_if_another_requests_tokens()
     {
         auto const few = with_row(row_of(1'000, 1'000, 9, 300), 400);
         CPPUNIT_ASSERT_EQUAL(token_count{-200}, moved(few));
+        // With 81 routers, a part left at each would be too small for any
+        // request.
         // A part at each of 81 routers would be of no use to anybody.
         auto const many = with_row(row_of(1'000, 1'000, 81, 300), 400);
         CPPUNIT_ASSERT_EQUAL(token_count{-360}, moved(many));
     }
 
-    // Some request of 20,000 tokens waits. Each of nine routers wrote a return
-    // of 12 tokens for it, several times a second.
+    // A request for 20,000 tokens waits. Guards against nine routers that each
+    // return 12 tokens for it several times a second.
     void a_tiny_return_is_not_written()
     {
         auto const state = with_row(row_of(90'000, 90'000, 9, 20'000), 24);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, moved(state));
     }
 
-    // A budget is used up to some tokens. Each request waited a quarter of a
-    // second and looked at the row several times before it was refused.
-    void after_a_wait_in_vain_the_next_is_refused_at_once()
+    // All but a few tokens of a budget are spent. Guards against each request
+    // waiting a quarter of a second and reading the row several times before it
+    // is rejected.
+    void after_an_unmet_wait_the_next_is_rejected_at_once()
     {
         auto state = with_row(row_of(90'000, 90'000, 9), 24);
         reserve_request request{{"r-1"}, taller, policy, 5'000, duration{250}};
@@ -122,6 +130,7 @@
         auto const next = reserve(ended.state, request, later + duration{50});
         CPPUNIT_ASSERT(next.reply);
         CPPUNIT_ASSERT(next.reply->verdict == reserve_verdict::exhausted);
+        // A smaller request may still fit, and later ones read the row again.
         // A smaller one may still fit, and later ones look again.
         request.request = {"r-3"};
         request.amount = 2'000;
@@ -130,6 +139,7 @@
         request.amount = 5'000;
         CPPUNIT_ASSERT(
             !reserve(ended.state, request, later + duration{450}).reply);
+        // A second unmet wait is remembered as well.
         // One that waited in vain too is remembered as well.
         request.amount = 2'000;
         waiting = reserve(ended.state, request, later);
@@ -141,9 +151,10 @@
             reserve(ended.state, request, last + duration{50}).reply);
     }
 
-    /// A request that waits from `at` on, in vain, with the row unchanged.
-    static share_state waited(share_state state, std::string const& id,
-                              instant at)
+    /// Runs a request that waits from `at` on without success, with the row
+    /// unchanged.
+    static share_state after_unmet_wait(share_state state,
+                                        std::string const& id, instant at)
     {
         reserve_request const request{
             {id}, taller, policy, 5'000, duration{250}};
@@ -156,14 +167,15 @@
         return ended.state;
     }
 
-    // Nobody gives tokens back to a used up budget. When each wait in vain
-    // counted as the first one, every caller was kept waiting for a quarter of
-    // a second for the rest of the day.
-    void a_row_that_stays_unchanged_ends_the_waits()
+    // No router returns tokens to a used up budget. Guards against counting
+    // each unmet wait as the first one: every caller would wait a quarter of a
+    // second.
+    void an_unchanged_row_ends_the_waits()
     {
         auto state = with_row(row_of(90'000, 90'000, 9), 24);
-        state = waited(std::move(state), "r-1", start);
-        state = waited(std::move(state), "r-2", start + duration{4'700});
+        state = after_unmet_wait(std::move(state), "r-1", start);
+        state =
+            after_unmet_wait(std::move(state), "r-2", start + duration{4'700});
         auto const later = start + duration{5'700};
         state.seen->at = later;
         reserve_request const request{
--- a/tests/budget/spend_journal_test.cpp
+++ b/tests/budget/spend_journal_test.cpp
@@ -10,18 +10,18 @@
 class spend_journal_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(spend_journal_test);
-    CPPUNIT_TEST(a_row_survives_its_text);
-    CPPUNIT_TEST(a_damaged_row_is_refused);
-    CPPUNIT_TEST(no_more_is_spent_than_the_store_knows_of);
-    CPPUNIT_TEST(an_outage_of_the_store_opens_the_share);
-    CPPUNIT_TEST(a_lost_write_binds_from_the_moment_it_is_sent);
-    CPPUNIT_TEST(a_lost_write_is_sent_again_as_it_was);
-    CPPUNIT_TEST(a_late_successor_takes_over_what_the_line_leaves);
-    CPPUNIT_TEST(what_came_after_the_row_is_spent_at_once);
-    CPPUNIT_TEST(a_row_tells_what_was_received);
+    CPPUNIT_TEST(a_row_is_decoded_as_it_was_encoded);
+    CPPUNIT_TEST(a_malformed_row_is_rejected);
+    CPPUNIT_TEST(no_more_is_spent_than_the_stored_limit);
+    CPPUNIT_TEST(the_limit_rises_during_a_store_outage);
+    CPPUNIT_TEST(an_unconfirmed_write_applies_once_it_is_sent);
+    CPPUNIT_TEST(an_unconfirmed_write_is_retried_unchanged);
+    CPPUNIT_TEST(a_late_successor_takes_over_tokens_above_the_limit);
+    CPPUNIT_TEST(tokens_received_after_the_row_are_spent_at_once);
+    CPPUNIT_TEST(a_row_states_the_received_tokens);
     CPPUNIT_TEST(a_fenced_router_spends_nothing);
-    CPPUNIT_TEST(a_successor_never_takes_over_what_was_spent);
-    CPPUNIT_TEST(an_inherited_share_keeps_what_is_above_the_ceiling);
+    CPPUNIT_TEST(a_successor_never_takes_over_spent_tokens);
+    CPPUNIT_TEST(an_inherited_share_obeys_its_spend_limit);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant start{100'000};
@@ -30,6 +30,7 @@
     static spend_journal acknowledged_at(instant now, std::int64_t store_ms,
                                          spend_line line)
     {
+        // The first row yields the store's time, the second contains the limit.
         // The first row tells the store's time, the second bears the line.
         auto journal = sent({}, next_row({}, {}, now));
         journal = acknowledged(std::move(journal), 1, store_ms, now);
@@ -38,7 +39,8 @@
         return acknowledged(std::move(journal), 2, store_ms, now);
     }
 
-    void a_row_survives_its_text()
+    // Guards against a limit that changes on its way through the store.
+    void a_row_is_decoded_as_it_was_encoded()
     {
         spend_row const row{{"a-1"}, "10.0.0.1:80", 42, {{taller, {7, 3}}}};
         auto const back =
@@ -46,7 +48,8 @@
         CPPUNIT_ASSERT(row == std::get<spend_row>(back));
     }
 
-    void a_damaged_row_is_refused()
+    // Guards against a malformed row that is taken for a limit.
+    void a_malformed_row_is_rejected()
     {
         for (auto const* text :
              {"", "[]", R"({"router":"a"})",
@@ -59,7 +62,9 @@
         }
     }
 
-    void no_more_is_spent_than_the_store_knows_of()
+    // Guards against spending above the limit in the store: a successor would
+    // take these tokens over as unspent.
+    void no_more_is_spent_than_the_stored_limit()
     {
         CPPUNIT_ASSERT_EQUAL(token_count{0},
                              spend_limit({}, taller, {900, 0}, start));
@@ -72,10 +77,10 @@
                              spend_limit(journal, {"other"}, {900, 0}, start));
     }
 
-    // The store is cut off. With a fixed ceiling some seconds ahead, callers
-    // were refused from there until the outage was certain, with most of the
-    // share free: 0.5 to 0.9 s in each outage of a calm day.
-    void an_outage_of_the_store_opens_the_share()
+    // The store is cut off. Guards against a fixed limit: callers would be
+    // rejected for 0.5 to 0.9 s, until the outage is certain, with most of the
+    // share free.
+    void the_limit_rises_during_a_store_outage()
     {
         auto const journal = acknowledged_at(start, 5'000, {300, 100});
         CPPUNIT_ASSERT_EQUAL(
@@ -89,9 +94,10 @@
                                          start + flat_for + duration{8'000}));
     }
 
-    // A write that no answer came to may be in the store, with a lower line
-    // than the one before. A successor would go by that.
-    void a_lost_write_binds_from_the_moment_it_is_sent()
+    // A write without a response may be in the store, with a lower limit than
+    // its predecessor. Guards against spending by the old limit, while a
+    // successor goes by the new one.
+    void an_unconfirmed_write_applies_once_it_is_sent()
     {
         auto journal = acknowledged_at(start, 5'000, {300, 100});
         auto const later = start + flat_for + duration{1'000};
@@ -104,22 +110,23 @@
         auto const rising = later + flat_for + duration{1'000};
         CPPUNIT_ASSERT_EQUAL(token_count{330},
                              spend_limit(journal, taller, {900, 0}, rising));
+        // The limit counts from the store's time now: 1 s since the row.
         // Counted from the store's own time now: 1 s since the row.
         journal = acknowledged(std::move(journal), 3, 7'900, rising);
         CPPUNIT_ASSERT_EQUAL(token_count{321},
                              spend_limit(journal, taller, {900, 0}, rising));
     }
 
-    // Were each try another row, any of them could be in the store, and the
-    // lowest of many lines would have to bind.
-    void a_lost_write_is_sent_again_as_it_was()
+    // Guards against retries with different rows: any of them could be in the
+    // store, and the lowest of all their limits would have to apply.
+    void an_unconfirmed_write_is_retried_unchanged()
     {
         auto journal = acknowledged_at(start, 5'000, {300, 100});
         auto const row = next_row(journal, {{taller, {320, 10}}}, start);
         journal = sent(std::move(journal), row);
-        auto const again =
+        auto const retried =
             next_row(journal, {{taller, {700, 90}}}, start + duration{400});
-        CPPUNIT_ASSERT(row == again);
+        CPPUNIT_ASSERT(row == retried);
         journal = found_own(std::move(journal), row, 7);
         CPPUNIT_ASSERT(!journal.pending);
         auto const fresh =
@@ -127,9 +134,10 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{5'400}, fresh.at_ms);
     }
 
-    // A machine is away for four seconds. The share of its router was lost
-    // whole, and customers near their end were refused with tokens unspent.
-    void a_late_successor_takes_over_what_the_line_leaves()
+    // A machine is down for four seconds. Guards against losing its whole
+    // share: customers near the end of their budgets would be rejected with
+    // tokens unspent.
+    void a_late_successor_takes_over_tokens_above_the_limit()
     {
         spend_row const row{
             {"a-1"}, "10.0.0.1:80", 5'000, {{taller, {300, 100}}}};
@@ -142,23 +150,25 @@
         CPPUNIT_ASSERT(!spent_at_most(first, "10.0.0.1:80", 9'200));
     }
 
-    // A router that has just been given tokens would refuse the caller that it
-    // asked for until its next row is written.
-    void what_came_after_the_row_is_spent_at_once()
+    // Guards against a router that received tokens for a waiting caller and
+    // rejects it until the next row is written.
+    void tokens_received_after_the_row_are_spent_at_once()
     {
         auto const journal = acknowledged_at(start, 5'000, {300, 0, 100, true});
         CPPUNIT_ASSERT_EQUAL(token_count{300},
                              spend_limit(journal, taller, {900, 100}, start));
         CPPUNIT_ASSERT_EQUAL(token_count{800},
                              spend_limit(journal, taller, {900, 600}, start));
+        // No row names this budget yet, so no successor takes these tokens
+        // over.
         // A budget that no row names yet: nobody takes these over.
         CPPUNIT_ASSERT_EQUAL(token_count{50},
                              spend_limit(journal, {"other"}, {0, 50}, start));
     }
 
-    // What was received stands in no share row. A successor that does not read
-    // it from the spend row would leave it to nobody.
-    void a_row_tells_what_was_received()
+    // Received tokens are in no share row. Guards against a successor that does
+    // not read them from the spend row, which would lose them.
+    void a_row_states_the_received_tokens()
     {
         spend_row const row{{"a-1"},
                             "10.0.0.1:80",
@@ -169,8 +179,8 @@
         CPPUNIT_ASSERT(row == std::get<spend_row>(back));
     }
 
-    // Another process has the address: it took over what this one had not
-    // spent. Both would spend the same tokens.
+    // Another process has the address and took over the unspent tokens. Guards
+    // against both spending the same tokens.
     void a_fenced_router_spends_nothing()
     {
         auto journal = acknowledged_at(start, 5'000, {300, 100});
@@ -180,15 +190,16 @@
             spend_limit(journal, taller, {900, 0}, start + duration{3'000}));
     }
 
-    // A router dies at any moment, with its last rows acknowledged late, lost,
-    // or written without an answer. Its successor may read the row whenever it
-    // likes. If it took over tokens that the dead one had spent, the customer
-    // would get more than was paid.
-    void a_successor_never_takes_over_what_was_spent()
+    // A router dies at any time, with its last rows confirmed late, lost, or
+    // written without a response, and its successor reads the row at any time.
+    // Guards against taking over tokens that the dead router had spent: the
+    // customer would get more than was paid.
+    void a_successor_never_takes_over_spent_tokens()
     {
         CPPUNIT_ASSERT(rc::check(
             []
             {
+                // The store's clock runs with the router's, 70,000 ms behind.
                 // Store time runs with the router's clock, 70,000 ms behind.
                 constexpr std::int64_t offset = 70'000;
                 held_tokens held{1'000'000, 0};
@@ -203,6 +214,7 @@
                 {
                     auto const pause = duration{*rc::gen::inRange(0, 2'500)};
                     store_now = store_now + pause;
+                    // The clock of a suspended router stands still.
                     // Suspended, the router's clock stands still.
                     now = now +
                           (*rc::gen::inRange(0, 5) == 0 ? duration{0} : pause);
@@ -218,13 +230,14 @@
                                          ? *rc::gen::inRange(0, 300'000)
                                          : 0;
                     journal = sent(std::move(journal), row);
-                    auto const fate = *rc::gen::inRange(0, 4);
-                    if (fate == 0)
+                    auto const write_fault = *rc::gen::inRange(0, 4);
+                    if (write_fault == 0)
                     {
-                        continue; // lost on the way
+                        continue; // the write is lost
                     }
                     if (journal.version != version)
                     {
+                        // An earlier try was applied, as the rejection shows.
                         // An earlier try is in the store: the refusal says so.
                         journal =
                             found_own(std::move(journal), in_store, version);
@@ -233,12 +246,12 @@
                     in_store = row;
                     version += 1;
                     auto const written_ms = store_now.ms - offset;
-                    auto const answer = duration{*rc::gen::inRange(0, 800)};
-                    store_now = store_now + answer;
-                    now = now + answer;
-                    if (fate == 1)
+                    auto const delay = duration{*rc::gen::inRange(0, 800)};
+                    store_now = store_now + delay;
+                    now = now + delay;
+                    if (write_fault == 1)
                     {
-                        continue; // written, and no answer came
+                        continue; // applied, and the response is lost
                     }
                     journal = acknowledged(std::move(journal), version,
                                            written_ms, now);
@@ -260,7 +273,8 @@
             }));
     }
 
-    void an_inherited_share_keeps_what_is_above_the_ceiling()
+    // Guards against a successor that spends inherited tokens above its limit.
+    void an_inherited_share_obeys_its_spend_limit()
     {
         auto state =
             make_share(taller, config::budget_policy::false_refusals_first, {});
@@ -268,8 +282,8 @@
         CPPUNIT_ASSERT_EQUAL(token_count{700}, free_tokens(state));
         state.spend_limit = 500;
         reserve_request request{{"r"}, taller, state.policy, 250, duration{10}};
-        auto const refused = reserve(state, request, start);
-        CPPUNIT_ASSERT(!refused.reply);
+        auto const waiting = reserve(state, request, start);
+        CPPUNIT_ASSERT(!waiting.reply);
         request.amount = 200;
         auto const admitted = reserve(state, request, start);
         CPPUNIT_ASSERT(admitted.reply->verdict == reserve_verdict::admitted);
--- a/tests/budget/story.hpp
+++ b/tests/budget/story.hpp
@@ -8,36 +8,36 @@
 #include <ostream>
 #include <vector>
 
-/// Random orders of everything that happens to routers and budgets.
+/// Random sequences of all that happens to routers and budgets.
 namespace caperpath::budget
 {
 
-enum class deed
+enum class action_kind
 {
     reserve,
     finish,
-    pump,
+    advance,
     pass_time,
-    land,
+    deliver_delayed,
     crash,
     pause,
-    wake,
+    resume,
     recover,
     top_up
 };
 
 struct action
 {
-    deed what{};
+    action_kind kind{};
     int router{};
     int budget{};
     int amount{};
-    mishap fault{};
+    call_fault fault{};
 };
 
 inline std::ostream& operator<<(std::ostream& out, action const& one)
 {
-    return out << '{' << static_cast<int>(one.what) << ' ' << one.router << ' '
+    return out << '{' << static_cast<int>(one.kind) << ' ' << one.router << ' '
                << one.budget << ' ' << one.amount << ' '
                << static_cast<int>(one.fault) << '}';
 }
@@ -45,7 +45,7 @@
 constexpr int router_count = 3;
 constexpr std::size_t action_count = 160;
 constexpr token_count first_payment = 1'000;
-constexpr token_count most_tokens = 300;
+constexpr token_count max_tokens = 300;
 
 inline std::vector<budget_id> const budgets{{"talleres"}, {"familias"}};
 
@@ -55,42 +55,44 @@
                        : config::budget_policy::false_refusals_first;
 }
 
-inline rc::Gen<mishap> any_mishap()
+inline rc::Gen<call_fault> any_call_fault()
 {
     using rc::gen::just;
-    return rc::gen::weightedOneOf<mishap>({{12, just(mishap::none)},
-                                           {1, just(mishap::outage)},
-                                           {1, just(mishap::lost_call)},
-                                           {2, just(mishap::lost_answer)},
-                                           {2, just(mishap::delayed)},
-                                           {1, just(mishap::duplicated)}});
+    return rc::gen::weightedOneOf<call_fault>(
+        {{12, just(call_fault::none)},
+         {1, just(call_fault::outage)},
+         {1, just(call_fault::lost_call)},
+         {2, just(call_fault::lost_response)},
+         {2, just(call_fault::delayed)},
+         {1, just(call_fault::duplicated)}});
 }
 
-inline rc::Gen<deed> any_deed()
+inline rc::Gen<action_kind> any_action_kind()
 {
     using rc::gen::just;
-    return rc::gen::weightedOneOf<deed>({{12, just(deed::reserve)},
-                                         {10, just(deed::finish)},
-                                         {24, just(deed::pump)},
-                                         {6, just(deed::pass_time)},
-                                         {3, just(deed::land)},
-                                         {1, just(deed::crash)},
-                                         {1, just(deed::pause)},
-                                         {2, just(deed::wake)},
-                                         {2, just(deed::recover)},
-                                         {1, just(deed::top_up)}});
+    return rc::gen::weightedOneOf<action_kind>(
+        {{12, just(action_kind::reserve)},
+         {10, just(action_kind::finish)},
+         {24, just(action_kind::advance)},
+         {6, just(action_kind::pass_time)},
+         {3, just(action_kind::deliver_delayed)},
+         {1, just(action_kind::crash)},
+         {1, just(action_kind::pause)},
+         {2, just(action_kind::resume)},
+         {2, just(action_kind::recover)},
+         {1, just(action_kind::top_up)}});
 }
 
-inline rc::Gen<std::vector<action>> any_story()
+inline rc::Gen<std::vector<action>> any_scenario()
 {
     using rc::gen::inRange;
     auto const one = rc::gen::build<action>(
-        rc::gen::set(&action::what, any_deed()),
+        rc::gen::set(&action::kind, any_action_kind()),
         rc::gen::set(&action::router, inRange(0, router_count)),
         rc::gen::set(&action::budget, inRange(0, 2)),
-        rc::gen::set(&action::amount,
-                     inRange(1, static_cast<int>(most_tokens))),
-        rc::gen::set(&action::fault, any_mishap()));
+        rc::gen::set(&action::amount, inRange(1, static_cast<int>(max_tokens))),
+        rc::gen::set(&action::fault, any_call_fault()));
+    // Use the full ranges from the first scenario on.
     // Full ranges from the first story on.
     return rc::gen::resize(
         rc::kNominalSize,
--- a/tests/budget/token_fleet.cpp
+++ b/tests/budget/token_fleet.cpp
@@ -16,8 +16,8 @@
 
 } // namespace
 
-token_fleet::token_fleet(std::size_t count, token_count paid, broken mistake)
-    : paid{paid}, mistake{mistake}, routers(count)
+token_fleet::token_fleet(std::size_t count, token_count paid, injected_bug bug)
+    : paid{paid}, bug{bug}, routers(count)
 {
     for (std::size_t i = 0; i < count; ++i)
     {
@@ -51,10 +51,10 @@
 
 std::size_t token_fleet::datagrams() const
 {
-    return this->wire.size();
+    return this->in_flight.size();
 }
 
-void token_fleet::pass(duration span, std::optional<std::size_t> frozen)
+void token_fleet::advance_time(duration span, std::optional<std::size_t> frozen)
 {
     this->store_ms += span.ms;
     for (std::size_t i = 0; i < this->routers.size(); ++i)
@@ -71,9 +71,9 @@
 {
     auto const& last = this->routers[at];
     router next;
-    next.life = last.life + 1;
+    next.starts = last.starts + 1;
     next.address = last.address;
-    next.id = {"vm-" + std::to_string(at) + "-" + std::to_string(next.life)};
+    next.id = {"vm-" + std::to_string(at) + "-" + std::to_string(next.starts)};
     next.now = instant{10'000};
     next.share = make_share(taller, policy, sizing_for(policy));
     next.share.sizes.exposure = duration{0};
@@ -86,7 +86,7 @@
     this->routers[at] = std::move(next);
     auto& of = this->routers[at];
     this->commit_row(of, next_row(of.journal, {}, of.now),
-                     write_fate::answered);
+                     write_outcome::acknowledged);
     auto const left =
         before ? spent_at_most(*before, of.address, dead_ms) : std::nullopt;
     if (left && left->contains(taller))
@@ -94,7 +94,7 @@
         auto const& line = left->at(taller);
         of.inheritance =
             inherited_tokens{before->router, line.spent, line.received};
-        this->write_row(at, 0, 0, write_fate::answered);
+        this->write_row(at, 0, 0, write_outcome::acknowledged);
         this->take_over(of);
     }
 }
@@ -116,7 +116,8 @@
         row = decode_share(found.front().value).value();
     }
     auto const all = row.granted + of.inheritance->received;
-    auto const inherits_all = this->mistake == broken::inherits_before_spent;
+    auto const inherits_all =
+        this->bug == injected_bug::credits_received_before_spent;
     auto const used = inherits_all
                           ? std::min(of.inheritance->spent, row.granted)
                           : std::min(of.inheritance->spent, all);
@@ -161,7 +162,7 @@
 {
     auto& of = this->routers[from];
     this->set_limit(of);
-    if (this->mistake == broken::gives_above_its_line)
+    if (this->bug == injected_bug::gives_above_its_limit)
     {
         of.share.spend_limit.reset();
     }
@@ -180,7 +181,8 @@
     auto posted =
         post(std::move(of.sent), this->routers[to].id, taller, amount, of.now);
     of.sent = std::move(posted.sent);
-    this->wire.push_back({to, of.id, this->routers[to].id, posted.what, from});
+    this->in_flight.push_back(
+        {to, of.id, this->routers[to].id, posted.what, from});
 }
 
 void token_fleet::send_due(std::size_t from)
@@ -198,7 +200,7 @@
             }
             for (auto const& one : transfers)
             {
-                this->wire.push_back({to, of.id, receiver, one, from});
+                this->in_flight.push_back({to, of.id, receiver, one, from});
             }
         }
     }
@@ -206,11 +208,11 @@
 
 void token_fleet::deliver(std::size_t which, bool again)
 {
-    auto const got = this->wire[which];
+    auto const got = this->in_flight[which];
     if (!again)
     {
-        this->wire.erase(this->wire.begin() +
-                         static_cast<std::ptrdiff_t>(which));
+        this->in_flight.erase(this->in_flight.begin() +
+                              static_cast<std::ptrdiff_t>(which));
     }
     auto& to = this->routers[got.to];
     if (to.id != got.receiver)
@@ -219,7 +221,7 @@
     }
     auto step = take(std::move(to.taken), got.sender, got.what.number);
     to.taken = std::move(step.taken);
-    if (step.is_new || this->mistake == broken::takes_twice)
+    if (step.is_new || this->bug == injected_bug::accepts_duplicates)
     {
         to.share = received(std::move(to.share), got.what.tokens);
     }
@@ -230,8 +232,8 @@
     }
 }
 
-spend_line token_fleet::line_of(router const& of, token_count above,
-                                token_count rise) const
+spend_line token_fleet::limit_of(router const& of, token_count above,
+                                 token_count rise) const
 {
     auto const& share = of.share;
     spend_line line{used_tokens(share) + above, rise, share.received, true};
@@ -244,10 +246,11 @@
     return line;
 }
 
-bool token_fleet::commit_row(router& of, spend_row const& row, write_fate fate)
+bool token_fleet::commit_row(router& of, spend_row const& row,
+                             write_outcome outcome)
 {
     of.journal = sent(std::move(of.journal), row);
-    if (fate == write_fate::lost)
+    if (outcome == write_outcome::lost)
     {
         return false;
     }
@@ -256,7 +259,7 @@
     txn.conditions.push_back({key, of.journal.version});
     txn.writes.push_back({key, encode(row)});
     auto const result = this->table.commit(txn);
-    if (fate == write_fate::answer_lost)
+    if (outcome == write_outcome::response_lost)
     {
         return false;
     }
@@ -267,7 +270,7 @@
                                   this->store_ms, of.now);
         return true;
     }
-    // The only other writer of the row was this router.
+    // Only this router writes the row, so an earlier write was applied.
     auto const& found = result.failed.front();
     of.journal = found_own(std::move(of.journal),
                            decode_spend(found.value).value(), found.version);
@@ -275,11 +278,12 @@
 }
 
 void token_fleet::write_row(std::size_t at, token_count above, token_count rise,
-                            write_fate fate)
+                            write_outcome outcome)
 {
     auto& of = this->routers[at];
-    auto const line = this->line_of(of, above, rise);
-    this->commit_row(of, next_row(of.journal, {{taller, line}}, of.now), fate);
+    auto const line = this->limit_of(of, above, rise);
+    this->commit_row(of, next_row(of.journal, {{taller, line}}, of.now),
+                     outcome);
 }
 
 std::vector<store::row> token_fleet::rows_of(router const& of) const
@@ -290,7 +294,8 @@
     return rows;
 }
 
-void token_fleet::draw(std::size_t at, token_count target, write_fate fate)
+void token_fleet::draw(std::size_t at, token_count target,
+                       write_outcome outcome)
 {
     auto& of = this->routers[at];
     holder_view const holder{of.id, 1};
@@ -313,11 +318,11 @@
     std::erase_if(next.txn.conditions, [&](store::condition const& one)
                   { return one.key == holder_key(of.id); });
     store::commit_result result;
-    if (fate != write_fate::lost)
+    if (outcome != write_outcome::lost)
     {
         result = this->table.commit(next.txn);
     }
-    if (fate != write_fate::answered)
+    if (outcome != write_outcome::acknowledged)
     {
         result = {};
     }
@@ -331,7 +336,7 @@
 void token_fleet::replace(std::size_t at, duration pause)
 {
     auto const address = this->routers[at].address;
-    this->pass(pause, std::nullopt);
+    this->advance_time(pause, std::nullopt);
     auto const found = this->table.read({spend_key(address)});
     std::optional<spend_row> before;
     if (!found.empty())
@@ -347,10 +352,10 @@
     of.share = close(std::move(of.share));
     for (int i = 0; i < 4; ++i)
     {
-        this->pass(duration{200}, std::nullopt);
-        this->draw(at, 0, write_fate::answered);
+        this->advance_time(duration{200}, std::nullopt);
+        this->draw(at, 0, write_outcome::acknowledged);
     }
-    this->write_row(at, 0, 0, write_fate::answered);
+    this->write_row(at, 0, 0, write_outcome::acknowledged);
     this->replace(at, duration{300});
 }
 
--- a/tests/budget/token_fleet.hpp
+++ b/tests/budget/token_fleet.hpp
@@ -16,65 +16,71 @@
 namespace caperpath::budget
 {
 
-/// A mistake that a fleet makes on purpose: the checks must find it.
-enum class broken
+/// A bug that the fleet has on purpose: the checks must find it.
+enum class injected_bug
 {
-    nothing,
-    takes_twice,          ///< a datagram that comes twice counts twice
-    gives_above_its_line, ///< tokens are sent that a successor takes over
-    inherits_before_spent ///< received tokens count before what was spent
+    none,
+    accepts_duplicates,           ///< a duplicate datagram counts twice
+    gives_above_its_limit,        ///< sends tokens that a successor takes over
+    credits_received_before_spent ///< received tokens count before spent ones
+                                  ///< are deducted
 };
 
-/// What becomes of a write to the store.
-enum class write_fate
+/// The outcome of a write to the store.
+enum class write_outcome
 {
-    answered,
-    answer_lost, ///< it counts, and the router does not know
+    acknowledged,
+    response_lost, ///< applied, and the router does not know
     lost
 };
 
-/// Routers that hold one budget: the pure core over a table in memory, in
-/// simulated time, one address a router. Test code; not thread safe.
+/// Routers that hold one budget: the pure core over an in-memory table, in
+/// simulated time, with one address for each router. Test code; not thread
+/// safe.
 class token_fleet
 {
 public:
-    token_fleet(std::size_t routers, token_count paid, broken mistake);
+    token_fleet(std::size_t routers, token_count paid, injected_bug bug);
 
-    /// Time passes; for `frozen`, if any, its clock stands still.
-    void pass(duration span, std::optional<std::size_t> frozen);
+    /// Advances the time; the clock of `frozen`, if any, stands still.
+    void advance_time(duration span, std::optional<std::size_t> frozen);
 
-    /// A request of up to `amount` tokens; false if it is refused.
+    /// Requests up to `amount` tokens; false if the request is rejected.
     bool spend(std::size_t router, token_count amount);
 
-    /// Up to `amount` tokens go from one router to another.
+    /// Transfers up to `amount` tokens from one router to another.
     void give(std::size_t from, std::size_t to, token_count amount);
 
-    /// All that is due goes out, as datagrams that `deliver` takes in.
+    /// Sends all transfers that are due, as datagrams for `deliver`.
     void send_due(std::size_t from);
 
-    /// Datagram number `which` arrives; it may come again when `again`.
+    /// Delivers datagram number `which`; it is kept for another delivery if
+    /// `again`.
     void deliver(std::size_t which, bool again);
     std::size_t datagrams() const;
 
     void write_row(std::size_t router, token_count above, token_count rise,
-                   write_fate fate);
+                   write_outcome outcome);
 
-    /// One step towards holding `target` tokens free.
-    void draw(std::size_t router, token_count target, write_fate fate);
+    /// Takes one step towards holding `target` free tokens.
+    void draw(std::size_t router, token_count target, write_outcome outcome);
 
-    /// The process dies, and another one starts at its address after `pause`.
+    /// Ends the process without a stop and starts another one at its address
+    /// after `pause`.
     void replace(std::size_t router, duration pause);
 
-    /// The process returns what it drew and ends.
+    /// Stops the process, which returns what it drew; another one starts at its
+    /// address.
     void stop(std::size_t router);
 
-    /// What requests were admitted for, of all routers that ever ran.
+    /// Returns the tokens of all admitted requests, of all processes.
     token_count admitted() const;
 
-    /// The same, and all that the routers may yet admit, draws included.
+    /// Returns the same plus all that the routers may still admit, including
+    /// what they may still draw.
     token_count obtainable() const;
 
-    /// The budget row as the store has it.
+    /// Returns the budget row in the store.
     budget_row row() const;
 
 private:
@@ -86,7 +92,7 @@
     };
     struct router
     {
-        int life{};
+        int starts{};
         incarnation_id id;
         std::string address;
         share_state share;
@@ -110,16 +116,16 @@
                std::int64_t dead_ms);
     void take_over(router& of);
     void set_limit(router& of) const;
-    spend_line line_of(router const& of, token_count above,
-                       token_count rise) const;
-    bool commit_row(router& of, spend_row const& row, write_fate fate);
+    spend_line limit_of(router const& of, token_count above,
+                        token_count rise) const;
+    bool commit_row(router& of, spend_row const& row, write_outcome outcome);
     std::vector<store::row> rows_of(router const& of) const;
 
     store::memory_table table;
     token_count paid;
-    broken mistake;
+    injected_bug bug;
     std::vector<router> routers;
-    std::vector<datagram> wire;
+    std::vector<datagram> in_flight;
     std::int64_t store_ms{1'000'000};
     token_count spent{};
 };
--- a/tests/budget/top_up_test.cpp
+++ b/tests/budget/top_up_test.cpp
@@ -10,13 +10,13 @@
 class top_up_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(top_up_test);
-    CPPUNIT_TEST(a_lost_answer_is_never_called_without_effect);
+    CPPUNIT_TEST(a_lost_response_is_never_reported_as_not_applied);
     CPPUNIT_TEST_SUITE_END();
 
-    // The store takes a top-up, its answer is lost and then the store goes
-    // down. Told that nothing happened, an operator would pay in again under
-    // another id and the customer would have it twice.
-    void a_lost_answer_is_never_called_without_effect()
+    // The store applies a top-up, the response is lost and then the store
+    // fails. Guards against reporting that nothing happened: an operator would
+    // pay in again under another id, and the customer would have it twice.
+    void a_lost_response_is_never_reported_as_not_applied()
     {
         auto const table = std::make_shared<store::memory_table>();
         bool written = false;
@@ -30,9 +30,9 @@
                                         : injected_fault::none;
             });
         budget_id const name{"talleres"};
-        auto const told =
+        auto const result =
             value_or_error([&] { return top_up(failing, name, "t1", 500); });
-        CPPUNIT_ASSERT(std::get<error>(told).kind == error_kind::timeout);
+        CPPUNIT_ASSERT(std::get<error>(result).kind == error_kind::timeout);
         auto const port = store::make_memory_port(table);
         CPPUNIT_ASSERT_EQUAL(token_count{500},
                              top_up(port, name, "t1", 500).value());
--- a/tests/budget/transfer_test.cpp
+++ b/tests/budget/transfer_test.cpp
@@ -11,11 +11,11 @@
 class transfer_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(transfer_test);
-    CPPUNIT_TEST(a_transfer_is_sent_again_until_it_is_confirmed);
-    CPPUNIT_TEST(a_transfer_that_comes_twice_counts_once);
-    CPPUNIT_TEST(numbers_of_each_sender_are_its_own);
-    CPPUNIT_TEST(a_dead_receiver_is_given_up);
-    CPPUNIT_TEST(nothing_more_goes_to_a_receiver_that_does_not_confirm);
+    CPPUNIT_TEST(a_transfer_is_retried_until_it_is_confirmed);
+    CPPUNIT_TEST(a_duplicate_transfer_counts_once);
+    CPPUNIT_TEST(each_sender_has_its_own_numbers);
+    CPPUNIT_TEST(transfers_to_a_dead_receiver_are_dropped);
+    CPPUNIT_TEST(a_receiver_that_does_not_confirm_is_overdue);
     CPPUNIT_TEST(any_order_of_datagrams_delivers_each_transfer_once);
     CPPUNIT_TEST_SUITE_END();
 
@@ -24,8 +24,8 @@
     inline static incarnation_id const there{"vm-2-1"};
     inline static budget_id const taller{"taller"};
 
-    // Guards against tokens that are lost with a datagram.
-    void a_transfer_is_sent_again_until_it_is_confirmed()
+    // Guards against losing tokens with a datagram.
+    void a_transfer_is_retried_until_it_is_confirmed()
     {
         auto posted = post({}, there, taller, 700, start);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, posted.what.number);
@@ -39,8 +39,9 @@
             take_due(std::move(sent), start + duration{60'000}).due.empty());
     }
 
-    // Guards against tokens that are spent twice: here and by the receiver.
-    void a_transfer_that_comes_twice_counts_once()
+    // Guards against tokens that count twice because their datagram arrives
+    // twice.
+    void a_duplicate_transfer_counts_once()
     {
         auto first = take({}, there, 1);
         CPPUNIT_ASSERT(first.is_new);
@@ -56,15 +57,15 @@
     }
 
     // Guards against a new process at an address whose first transfers are
-    // taken for those of the one before it.
-    void numbers_of_each_sender_are_its_own()
+    // mistaken for duplicates of those of its predecessor.
+    void each_sender_has_its_own_numbers()
     {
         auto step = take({}, here, 1);
         CPPUNIT_ASSERT(take(std::move(step.taken), there, 1).is_new);
     }
 
-    // Guards against transfers that are sent to a dead process for ever.
-    void a_dead_receiver_is_given_up()
+    // Guards against transfers that are retried to a dead process forever.
+    void transfers_to_a_dead_receiver_are_dropped()
     {
         auto sent = post({}, there, taller, 700, start).sent;
         sent = abandoned(std::move(sent), there);
@@ -72,9 +73,9 @@
             take_due(std::move(sent), start + duration{60'000}).due.empty());
     }
 
-    // Guards against a coordinator that sends all it has to a router that is
-    // cut off, where it serves nobody else.
-    void nothing_more_goes_to_a_receiver_that_does_not_confirm()
+    // Guards against a coordinator that sends all its tokens to a router that
+    // is cut off, where other routers cannot use them.
+    void a_receiver_that_does_not_confirm_is_overdue()
     {
         auto sent = post({}, there, taller, 700, start).sent;
         auto now = start;
@@ -88,6 +89,8 @@
         CPPUNIT_ASSERT(!is_overdue(sent, there));
     }
 
+    // Guards against datagrams that are lost, duplicated or reordered so that a
+    // transfer counts twice or never.
     void any_order_of_datagrams_delivers_each_transfer_once()
     {
         CPPUNIT_ASSERT(rc::check(
--- a/tests/budget/world.hpp
+++ b/tests/budget/world.hpp
@@ -17,28 +17,28 @@
 namespace caperpath::budget
 {
 
-/// What happens to one call on its way to the table and back.
-enum class mishap
+/// A fault injected into one call to the table.
+enum class call_fault
 {
     none,
     outage,
     lost_call,
-    lost_answer,
-    delayed,   ///< the caller gives up; the write lands later
-    duplicated ///< applied, and a copy lands later
+    lost_response,
+    delayed,   ///< the caller gives up; the write is applied later
+    duplicated ///< applied, and a copy is applied later
 };
 
-/// Where one request stands, as its caller and the auditors see it.
-struct request_fate
+/// The state of one request, as its caller and the audit see it.
+struct request_record
 {
     budget_id budget;
     incarnation_id router;
     config::budget_policy policy{};
     token_count reserved{};
     token_count cost{};
-    bool open{false};     ///< admitted, not finished
-    bool answered{false}; ///< the caller has the whole answer
-    bool lost{false};     ///< its router died before the answer ended
+    bool open{false};      ///< admitted, not finished
+    bool responded{false}; ///< the caller has the complete response
+    bool lost{false};      ///< its router died before the response ended
 };
 
 struct simulated_router
@@ -52,16 +52,16 @@
     settlement_state settlement;
 };
 
-/// Routers over the pure core and one table, driven action by action with a
-/// mishap on each call. Test code; not thread safe.
-class world
+/// Routers over the pure core and one table, driven action by action with an
+/// injected fault on each call. Test code; not thread safe.
+class fleet_simulation
 {
 public:
     std::shared_ptr<store::memory_table> table =
         std::make_shared<store::memory_table>();
     store::port direct = store::make_memory_port(this->table);
     std::vector<simulated_router> routers;
-    std::map<request_id, request_fate> fates;
+    std::map<request_id, request_record> records;
     std::deque<store::transaction> delayed;
     settle_options settle{{100}, {500}, 5};
     instant now{1'000'000};
@@ -89,20 +89,20 @@
                     config::budget_policy policy, token_count amount,
                     duration wait)
     {
-        request_id const id{"q" + std::to_string(this->fates.size())};
-        this->fates[id] = {budget, router.holder.incarnation, policy, amount};
+        request_id const id{"q" + std::to_string(this->records.size())};
+        this->records[id] = {budget, router.holder.incarnation, policy, amount};
         auto& share = this->share_of(router, budget, policy);
         auto step = reserve(std::move(share),
                             {id, budget, policy, amount, wait}, this->now);
         share = std::move(step.state);
         if (step.reply)
         {
-            this->note(id, *step.reply);
+            this->record_reply(id, *step.reply);
         }
     }
 
     /// Finishes the oldest open request of the router at `percent` of its
-    /// reservation; a repeat must change nothing.
+    /// reservation, twice: the retry must change nothing.
     void finish_at(simulated_router& router, int percent)
     {
         auto const mine = [&router](auto const& entry)
@@ -111,30 +111,30 @@
                    entry.second.router == router.holder.incarnation;
         };
         auto const found =
-            std::find_if(this->fates.begin(), this->fates.end(), mine);
-        if (found == this->fates.end())
+            std::find_if(this->records.begin(), this->records.end(), mine);
+        if (found == this->records.end())
         {
             return;
         }
-        auto& fate = found->second;
-        auto const cost = fate.reserved * percent / 100;
-        finish_request const end{{found->first, {"c"}, fate.budget, cost},
-                                 fate.policy,
-                                 fate.reserved};
-        auto& share = router.shares.at(fate.budget);
+        auto& record = found->second;
+        auto const cost = record.reserved * percent / 100;
+        finish_request const end{{found->first, {"c"}, record.budget, cost},
+                                 record.policy,
+                                 record.reserved};
+        auto& share = router.shares.at(record.budget);
         auto step = finish(std::move(share), end, this->now);
         router.settlement = queue_bill(std::move(router.settlement), step.cost,
-                                       fate.policy, this->settle, this->now);
+                                       record.policy, this->settle, this->now);
         auto again = finish(std::move(step.state), end, this->now);
         accepted_twice |= again.accepted;
         share = std::move(again.state);
-        fate.open = false;
-        fate.cost = cost;
-        fate.answered = step.may_end;
+        record.open = false;
+        record.cost = cost;
+        record.responded = step.may_end;
     }
 
-    /// One step for every budget of the router and one batch.
-    void pump(simulated_router& router, mishap what)
+    /// Runs one step for every budget of the router and one settlement batch.
+    void advance(simulated_router& router, call_fault fault)
     {
         for (auto& [budget, share] : router.shares)
         {
@@ -142,31 +142,31 @@
             share = std::move(step.state);
             if (step.kind == step_kind::look)
             {
-                share = this->look(std::move(share), router, what);
+                share = this->read_rows(std::move(share), router, fault);
             }
             if (step.kind == step_kind::write)
             {
                 share = wrote(std::move(share), router.holder,
-                              this->commit(step.txn, what), this->now);
+                              this->commit(step.txn, fault), this->now);
             }
-            this->answer(share);
+            this->decide_reservations(share);
         }
-        this->pump_settlement(router, what);
+        this->advance_settlement(router, fault);
     }
 
     void crash(simulated_router& router)
     {
         router.dead = true;
-        for (auto& [id, fate] : this->fates)
+        for (auto& [id, record] : this->records)
         {
-            auto const mine = fate.router == router.holder.incarnation;
-            fate.lost |= mine && !fate.answered;
-            fate.open &= !mine;
+            auto const mine = record.router == router.holder.incarnation;
+            record.lost |= mine && !record.responded;
+            record.open &= !mine;
         }
     }
 
-    /// A write that its sender has given up arrives at last.
-    void land_one()
+    /// Applies the oldest write that its sender has given up.
+    void deliver_one_delayed()
     {
         if (!this->delayed.empty())
         {
@@ -175,40 +175,40 @@
         }
     }
 
-    store::commit_result commit(store::transaction const& txn, mishap what)
+    store::commit_result commit(store::transaction const& txn, call_fault fault)
     {
         store::commit_result const unknown{};
-        switch (what)
+        switch (fault)
         {
-        case mishap::outage:
+        case call_fault::outage:
             return {store::commit_outcome::refused, {}, {}};
-        case mishap::lost_call:
+        case call_fault::lost_call:
             return unknown;
-        case mishap::delayed:
+        case call_fault::delayed:
             this->delayed.push_back(txn);
             return unknown;
-        case mishap::lost_answer:
+        case call_fault::lost_response:
             this->table->commit(txn);
             return unknown;
-        case mishap::duplicated:
+        case call_fault::duplicated:
             this->delayed.push_back(txn);
             break;
-        case mishap::none:
+        case call_fault::none:
             break;
         }
         return this->table->commit(txn);
     }
 
-    /// Tokens of a budget that customers have used or may still use: open
-    /// reservations of running routers and every finished request.
+    /// Returns the tokens of a budget that customers have used or may still
+    /// use: open reservations of running routers and every finished request.
     token_count used(budget_id const& budget) const
     {
         token_count sum = 0;
-        for (auto const& [id, fate] : this->fates)
+        for (auto const& [id, record] : this->records)
         {
-            if (fate.budget == budget && !fate.lost)
+            if (record.budget == budget && !record.lost)
             {
-                sum += fate.open ? fate.reserved : fate.cost;
+                sum += record.open ? record.reserved : record.cost;
             }
         }
         return sum;
@@ -217,25 +217,25 @@
     bool accepted_twice{false};
 
 private:
-    void note(request_id const& id, reserve_reply const& reply)
+    void record_reply(request_id const& id, reserve_reply const& reply)
     {
-        this->fates.at(id).open = reply.verdict == reserve_verdict::admitted;
+        this->records.at(id).open = reply.verdict == reserve_verdict::admitted;
     }
 
-    void answer(share_state& share)
+    void decide_reservations(share_state& share)
     {
         auto step = answer_waiting(std::move(share), this->now);
         share = std::move(step.state);
         for (auto const& one : step.answers)
         {
-            this->note(one.request, one.reply);
+            this->record_reply(one.request, one.reply);
         }
     }
 
-    share_state look(share_state share, simulated_router const& router,
-                     mishap what)
+    share_state read_rows(share_state share, simulated_router const& router,
+                          call_fault fault)
     {
-        if (what != mishap::none && what != mishap::duplicated)
+        if (fault != call_fault::none && fault != call_fault::duplicated)
         {
             return look_failed(std::move(share), this->now);
         }
@@ -243,7 +243,7 @@
         return looked(std::move(share), router.holder, rows, this->now);
     }
 
-    void pump_settlement(simulated_router& router, mishap what)
+    void advance_settlement(simulated_router& router, call_fault fault)
     {
         auto step = next_batch(std::move(router.settlement), router.holder,
                                this->settle, this->now);
@@ -253,13 +253,13 @@
             return;
         }
         auto done = batch_written(std::move(router.settlement), router.holder,
-                                  this->commit(*step.txn, what), this->now);
+                                  this->commit(*step.txn, fault), this->now);
         router.settlement = std::move(done.state);
         for (auto const& one : done.durable)
         {
             auto& share = router.shares.at(one.budget);
             share = settled(std::move(share), one.tokens);
-            this->fates.at(one.request).answered = true;
+            this->records.at(one.request).responded = true;
         }
     }
 };
--- a/tests/gateway/crash_keeper_test.cpp
+++ b/tests/gateway/crash_keeper_test.cpp
@@ -19,10 +19,10 @@
 class crash_keeper_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(crash_keeper_test);
-    CPPUNIT_TEST(an_idle_site_costs_few_calls);
-    CPPUNIT_TEST(a_lost_call_shortens_the_next_ones);
-    CPPUNIT_TEST(a_held_call_that_is_lost_hides_no_crash);
-    CPPUNIT_TEST(lost_calls_elsewhere_do_not_add_up);
+    CPPUNIT_TEST(an_idle_site_makes_few_store_calls);
+    CPPUNIT_TEST(a_lost_call_shortens_the_next_waits);
+    CPPUNIT_TEST(a_lost_long_poll_hides_no_crash);
+    CPPUNIT_TEST(many_lost_calls_start_one_read);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t salt = 7;
@@ -33,8 +33,9 @@
             {"taller", "GET", "site.example", "/read/fatal", ""});
     }
 
-    /// A store that counts calls and adds up what it would have held them for.
-    struct world
+    /// A store that counts calls and adds up for how long it was asked to hold
+    /// them.
+    struct scenario
     {
         using follow_reply = store::reply<store::feed_page>;
 
@@ -58,12 +59,12 @@
                                   [to] { to(std::vector<store::row>{}); });
             };
             made.follow = [this](std::string const&, std::uint64_t,
-                                 duration wait, duration answer_within,
+                                 duration wait, duration response_timeout,
                                  follow_reply const& done)
             {
                 this->calls += 1;
                 this->waits.push_back(wait);
-                this->limits.push_back(answer_within);
+                this->limits.push_back(response_timeout);
                 this->on_follow(done);
             };
             made.commit = [](store::transaction const&,
@@ -72,15 +73,15 @@
             return made;
         }
 
-        void answer(follow_reply const& done, store::feed_page const& page)
+        void respond(follow_reply const& done, store::feed_page const& page)
         {
             boost::asio::post(this->loop, [done, page] { done(page); });
         }
 
         bool run_until(std::function<bool()> const& done)
         {
-            constexpr int most_slices = 2'000;
-            for (int i = 0; i < most_slices && !done(); ++i)
+            constexpr int max_slices = 2'000;
+            for (int i = 0; i < max_slices && !done(); ++i)
             {
                 this->loop.run_for(std::chrono::milliseconds{5});
                 this->loop.restart();
@@ -88,7 +89,7 @@
             return done();
         }
 
-        duration held() const
+        duration total_wait() const
         {
             duration sum{};
             for (auto const& one : this->waits)
@@ -107,63 +108,64 @@
         crash_keeper keeper{loop.get_executor(), port(), salt, log};
     };
 
-    // Guards against a fleet whose calls to the store are mostly for rows that
-    // hardly ever change.
-    void an_idle_site_costs_few_calls()
+    // Guards against a fleet whose store calls are mostly for rows that hardly
+    // ever change.
+    void an_idle_site_makes_few_store_calls()
     {
-        static constexpr duration counted{600'000};
-        constexpr int most_calls = 60;
-        world idle;
-        idle.on_follow = [&idle](world::follow_reply const& done)
+        static constexpr duration observed{600'000};
+        constexpr int max_calls = 60;
+        scenario idle;
+        idle.on_follow = [&idle](scenario::follow_reply const& done)
         {
-            if (idle.held() < counted)
+            if (idle.total_wait() < observed)
             {
-                idle.answer(done, {{}, 1});
+                idle.respond(done, {{}, 1});
             }
         };
         idle.keeper.start();
-        CPPUNIT_ASSERT(idle.run_until([&] { return idle.held() >= counted; }));
-        CPPUNIT_ASSERT(idle.calls <= most_calls);
+        CPPUNIT_ASSERT(
+            idle.run_until([&] { return idle.total_wait() >= observed; }));
+        CPPUNIT_ASSERT(idle.calls <= max_calls);
     }
 
-    // Guards against a long wait that begins while the store still loses calls.
-    void a_lost_call_shortens_the_next_ones()
+    // Guards against a long poll that begins while the store still loses calls.
+    void a_lost_call_shortens_the_next_waits()
     {
-        constexpr duration longest{2'000};
-        constexpr std::size_t calm_calls = 20;
-        world site;
-        site.on_follow = [&site](world::follow_reply const& done)
+        constexpr duration max_wait{2'000};
+        constexpr std::size_t successful_calls = 20;
+        scenario site;
+        site.on_follow = [&site](scenario::follow_reply const& done)
         {
-            if (site.waits.size() == calm_calls)
+            if (site.waits.size() == successful_calls)
             {
                 error const lost{error_kind::timeout, "follow", "store", ""};
                 boost::asio::post(site.loop, [done, lost] { done(lost); });
             }
-            else if (site.waits.size() < calm_calls + 3)
+            else if (site.waits.size() < successful_calls + 3)
             {
-                site.answer(done, {{}, 1});
+                site.respond(done, {{}, 1});
             }
         };
         site.keeper.start();
         CPPUNIT_ASSERT(site.run_until(
-            [&] { return site.waits.size() == calm_calls + 3; }));
-        CPPUNIT_ASSERT(site.waits[calm_calls - 1] > longest);
-        CPPUNIT_ASSERT(site.waits[calm_calls] <= longest);
-        CPPUNIT_ASSERT(site.waits[calm_calls + 1] <= longest);
+            [&] { return site.waits.size() == successful_calls + 3; }));
+        CPPUNIT_ASSERT(site.waits[successful_calls - 1] > max_wait);
+        CPPUNIT_ASSERT(site.waits[successful_calls] <= max_wait);
+        CPPUNIT_ASSERT(site.waits[successful_calls + 1] <= max_wait);
     }
 
-    // Guards against a router that sends a request which crashed servers since
-    // a held call was lost and nobody noticed.
-    void a_held_call_that_is_lost_hides_no_crash()
+    // A long poll is lost and its connection shows no error. Guards against a
+    // router that sends a request which crashed servers in the meantime.
+    void a_lost_long_poll_hides_no_crash()
     {
-        world site;
-        site.on_follow = [&site](world::follow_reply const& done)
+        scenario site;
+        site.on_follow = [&site](scenario::follow_reply const& done)
         {
             if (site.waits.size() == 2)
             {
-                site.answer(done, {{{crash_key(fatal()),
-                                     encode_evidence({0, 3}), false, 2}},
-                                   2});
+                site.respond(done, {{{crash_key(fatal()),
+                                      encode_evidence({0, 3}), false, 2}},
+                                    2});
             }
         };
         site.keeper.start();
@@ -172,16 +174,18 @@
         CPPUNIT_ASSERT(site.run_until([&] { return site.keeper.knows_any(); }));
         CPPUNIT_ASSERT(fleet::judge(site.keeper.evidence(fatal())) ==
                        fleet::crash_verdict::quarantined);
+        // The second call asks only for known changes and does not wait for new
+        // ones.
         // Asked for what is known already, not for what comes.
         CPPUNIT_ASSERT(site.waits[1] + site.limits[1] <= duration{1'000});
     }
 
-    // Guards against an outage in which each lost call begins another one.
-    void lost_calls_elsewhere_do_not_add_up()
+    // Guards against an outage in which each lost call starts another one.
+    void many_lost_calls_start_one_read()
     {
         constexpr int lost = 100;
-        world site;
-        site.on_follow = [](world::follow_reply const&) {
+        scenario site;
+        site.on_follow = [](scenario::follow_reply const&) {
         };
         site.keeper.start();
         CPPUNIT_ASSERT(site.run_until([&] { return site.waits.size() == 1; }));
--- a/tests/gateway/crash_rows_test.cpp
+++ b/tests/gateway/crash_rows_test.cpp
@@ -8,13 +8,14 @@
 class crash_rows_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(crash_rows_test);
-    CPPUNIT_TEST(rows_are_read_as_they_were_written);
-    CPPUNIT_TEST(rows_of_another_kind_are_not_read);
+    CPPUNIT_TEST(rows_are_decoded_as_they_were_encoded);
+    CPPUNIT_TEST(malformed_rows_are_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr fleet::fingerprint request{1, 0xabcdef0123456789};
 
-    void rows_are_read_as_they_were_written()
+    // Guards against evidence that changes on its way through the store.
+    void rows_are_decoded_as_they_were_encoded()
     {
         auto const key = crash_key(request);
         CPPUNIT_ASSERT(key > crash_range_begin && key < crash_range_end);
@@ -23,9 +24,9 @@
         CPPUNIT_ASSERT(decode_evidence(encode_evidence(known)) == known);
     }
 
-    // Guards against a row that no router wrote, or one of another version,
-    // and the end of the process under it.
-    void rows_of_another_kind_are_not_read()
+    // Guards against a process that ends because a row is malformed or of
+    // another version.
+    void malformed_rows_are_rejected()
     {
         for (auto const* key : {"", "crash//fleet", "crash/12/fleet",
                                 "router/1/fleet", "crash/", "/fleet"})
--- a/tests/gateway/crash_test.cpp
+++ b/tests/gateway/crash_test.cpp
@@ -14,16 +14,16 @@
 class crash_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(crash_test);
-    CPPUNIT_TEST(a_request_that_crashes_servers_is_no_longer_sent);
-    CPPUNIT_TEST(a_stream_that_crashes_servers_is_no_longer_sent);
-    CPPUNIT_TEST(a_router_that_starts_knows_what_crashes_servers);
-    CPPUNIT_TEST(a_router_is_not_ready_before_it_knows_what_crashes_servers);
-    CPPUNIT_TEST(a_router_that_cannot_read_what_crashes_servers_gets_ready);
-    CPPUNIT_TEST(a_first_crash_is_told_when_the_caller_got_no_answer);
-    CPPUNIT_TEST(what_another_router_learned_holds_here);
-    CPPUNIT_TEST(what_was_learned_in_an_outage_is_told_after_it);
-    CPPUNIT_TEST(a_reset_connection_is_no_crash);
-    CPPUNIT_TEST(a_whole_answer_clears_a_request);
+    CPPUNIT_TEST(a_request_that_crashes_servers_is_quarantined);
+    CPPUNIT_TEST(a_stream_that_crashes_servers_is_quarantined);
+    CPPUNIT_TEST(a_restarted_router_reads_the_crash_evidence);
+    CPPUNIT_TEST(a_router_is_not_ready_before_it_read_the_crash_evidence);
+    CPPUNIT_TEST(a_router_that_cannot_read_crash_evidence_gets_ready);
+    CPPUNIT_TEST(a_first_crash_is_stored_if_the_request_failed);
+    CPPUNIT_TEST(evidence_from_another_router_is_applied);
+    CPPUNIT_TEST(evidence_from_a_store_outage_is_stored_after_it);
+    CPPUNIT_TEST(a_reset_connection_is_not_a_crash);
+    CPPUNIT_TEST(a_complete_response_clears_a_request);
     CPPUNIT_TEST(a_request_on_probation_is_sent_once_at_a_time);
     CPPUNIT_TEST_SUITE_END();
 
@@ -34,8 +34,8 @@
         return got.target().find("fatal") != std::string::npos;
     }
 
-    /// A server that ends under requests whose path says so.
-    static script fragile(fake_server::request const& got)
+    /// A server that crashes on requests with "fatal" in their path.
+    static script crash_if_fatal(fake_server::request const& got)
     {
         if (is_fatal(got))
         {
@@ -44,13 +44,14 @@
         return {{whole_answer(got, 200, "fine")}};
     }
 
-    struct world
+    struct scenario
     {
-        explicit world(std::unique_ptr<fleet_site> site) : here{std::move(site)}
+        explicit scenario(std::unique_ptr<fleet_site> site)
+            : here{std::move(site)}
         {
         }
 
-        explicit world(fake_server::answerer const& answer = fragile)
+        explicit scenario(fake_server::answerer const& answer = crash_if_fatal)
             : here{std::make_unique<fleet_site>()}
         {
             this->add_servers(answer);
@@ -97,7 +98,7 @@
             return count;
         }
 
-        got_answer read(std::string const& name)
+        received_response read(std::string const& name)
         {
             return this->here->send(
                 fleet_site::request("GET", "/read/" + name));
@@ -106,7 +107,10 @@
         bool has_row(std::size_t rows)
         {
             return this->here->run_until(
-                [&] { return this->here->store.own_rows("crash/") == rows; });
+                [&] {
+                    return this->here->store.count_router_rows("crash/") ==
+                           rows;
+                });
         }
 
         std::unique_ptr<fleet_site> here;
@@ -114,11 +118,11 @@
         int added{};
     };
 
-    // Guards against a request that ends one server after the other, each time
-    // its caller sends it again.
-    void a_request_that_crashes_servers_is_no_longer_sent()
+    // Guards against a request that crashes one server after the other as its
+    // caller retries it.
+    void a_request_that_crashes_servers_is_quarantined()
     {
-        world all;
+        scenario all;
         for (int i = 0; i < fleet_size; ++i)
         {
             all.read("fatal");
@@ -130,9 +134,10 @@
         CPPUNIT_ASSERT_EQUAL(200, all.read("other").status);
     }
 
-    void a_stream_that_crashes_servers_is_no_longer_sent()
+    // The same for a stream.
+    void a_stream_that_crashes_servers_is_quarantined()
     {
-        world all;
+        scenario all;
         for (int i = 0; i < fleet_size; ++i)
         {
             all.here->send(fleet_site::prompt("/chat/fatal", 100, 10));
@@ -140,35 +145,37 @@
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{3}, all.crashed());
     }
 
-    // Guards against routers that forget with each start, or that each learn
-    // what others know at the price of more servers.
-    void a_router_that_starts_knows_what_crashes_servers()
+    // Guards against routers that lose the crash evidence with each restart, or
+    // each collect it anew and crash more servers.
+    void a_restarted_router_reads_the_crash_evidence()
     {
-        world first;
+        scenario first;
         first.read("fatal");
         first.read("fatal");
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{3}, first.crashed());
         CPPUNIT_ASSERT(first.has_row(1));
-        world second{fleet_site::after_crash(std::move(first.here))};
+        scenario second{fleet_site::after_crash(std::move(first.here))};
         second.added = first.added;
-        second.add_servers(fragile);
+        second.add_servers(crash_if_fatal);
         CPPUNIT_ASSERT(second.here->run_until(
             [&] { return second.read("fatal").status == 429; }));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{0}, second.crashed());
     }
 
-    // Guards against a router that gets callers, and crashes a server, before
-    // it has read what the others know.
-    void a_router_is_not_ready_before_it_knows_what_crashes_servers()
+    // Guards against a router that takes callers, and crashes a server, before
+    // it has read the evidence of the other routers.
+    void a_router_is_not_ready_before_it_read_the_crash_evidence()
     {
-        world first;
+        scenario first;
         first.read("fatal");
         first.read("fatal");
         CPPUNIT_ASSERT(first.has_row(1));
-        first.here->store.silent_for = "crash/";
+        first.here->store.silent_prefix = "crash/";
         auto const next = fleet_site::after_crash(std::move(first.here));
-        next->add_server("app-next", "app", fragile);
-        next->add_server("llm-next", "llm", fragile);
+        next->add_server("app-next", "app", crash_if_fatal);
+        next->add_server("llm-next", "llm", crash_if_fatal);
+        // The router has its shares: only the evidence keeps it from being
+        // ready.
         // It has its shares: nothing else keeps it from being ready.
         CPPUNIT_ASSERT(next->run_until(
             [&]
@@ -177,39 +184,40 @@
                            .status == 200;
             }));
         CPPUNIT_ASSERT_EQUAL(503, next->readiness());
-        next->store.silent_for.clear();
+        next->store.silent_prefix.clear();
         CPPUNIT_ASSERT(
             next->run_until([&] { return next->readiness() == 200; }));
         CPPUNIT_ASSERT_EQUAL(
             429, next->send(fleet_site::request("GET", "/read/fatal")).status);
     }
 
-    // Guards against a fleet that stays out of rotation because these rows
-    // alone cannot be read.
-    void a_router_that_cannot_read_what_crashes_servers_gets_ready()
+    // Guards against a fleet that stays out of rotation because only the rows
+    // with crash evidence cannot be read.
+    void a_router_that_cannot_read_crash_evidence_gets_ready()
     {
         fleet_site site{false};
-        site.store.silent_for = "crash/";
+        site.store.silent_prefix = "crash/";
         site.put_configuration(1);
-        site.add_server("app-1", "app", fragile);
-        site.add_server("llm-1", "llm", fragile);
+        site.add_server("app-1", "app", crash_if_fatal);
+        site.add_server("llm-1", "llm", crash_if_fatal);
         CPPUNIT_ASSERT(site.run_until([&] { return site.readiness() == 200; }));
     }
 
-    // Guards against a request that may run once only: each router sees one
-    // crash of it.
-    void a_first_crash_is_told_when_the_caller_got_no_answer()
+    // Guards against a non-idempotent request that crashes a server at each
+    // router: each router sees only one crash of it.
+    void a_first_crash_is_stored_if_the_request_failed()
     {
-        world all;
+        scenario all;
         all.here->send(fleet_site::request("POST", "/order/fatal"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1}, all.crashed());
         CPPUNIT_ASSERT(all.has_row(1));
     }
 
-    // Guards against routers that each crash servers to learn the same.
-    void what_another_router_learned_holds_here()
+    // Guards against routers that each crash servers to collect the same
+    // evidence.
+    void evidence_from_another_router_is_applied()
     {
-        world all;
+        scenario all;
         auto const request = fleet::fingerprint_of(
             {"taller", "GET", "site.example", "/read/fatal", ""});
         all.here->store.put(store::own_table(crash_table), crash_key(request),
@@ -219,50 +227,50 @@
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{0}, all.crashed());
     }
 
-    // Guards against evidence that is lost because the store was away when it
-    // was found.
-    void what_was_learned_in_an_outage_is_told_after_it()
+    // Guards against evidence that is lost because it was found during an
+    // outage of the store.
+    void evidence_from_a_store_outage_is_stored_after_it()
     {
-        world all;
+        scenario all;
         all.here->store.reachable = false;
         all.read("fatal");
         all.read("fatal");
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{3}, all.crashed());
         CPPUNIT_ASSERT_EQUAL(429, all.read("fatal").status);
-        CPPUNIT_ASSERT(all.here->store.own_rows("crash/") == 0);
+        CPPUNIT_ASSERT(all.here->store.count_router_rows("crash/") == 0);
         all.here->store.reachable = true;
         CPPUNIT_ASSERT(all.has_row(1));
     }
 
-    // Guards against refusing requests because connections to servers were
-    // reset on the way.
-    void a_reset_connection_is_no_crash()
+    // Guards against rejecting requests because connections to running servers
+    // were reset.
+    void a_reset_connection_is_not_a_crash()
     {
-        world all{[](fake_server::request const&)
-                  {
-                      return script{{}, script::end::reset};
-                  }};
+        scenario all{[](fake_server::request const&)
+                     {
+                         return script{{}, script::end::reset};
+                     }};
         for (int i = 0; i < fleet_size; ++i)
         {
             CPPUNIT_ASSERT_EQUAL(502, all.read("same").status);
         }
-        CPPUNIT_ASSERT(all.here->store.own_rows("crash/") == 0);
+        CPPUNIT_ASSERT(all.here->store.count_router_rows("crash/") == 0);
     }
 
-    // Guards against refusing a popular request that was at the crashes of
-    // others.
-    void a_whole_answer_clears_a_request()
+    // Guards against rejecting a frequent request that was open at servers
+    // which other requests crashed.
+    void a_complete_response_clears_a_request()
     {
         auto crashes = 2;
-        world all{[&crashes](fake_server::request const& got) -> script
-                  {
-                      if (crashes > 0)
-                      {
-                          crashes -= 1;
-                          return {{}, script::end::crash};
-                      }
-                      return {{whole_answer(got, 200, "fine")}};
-                  }};
+        scenario all{[&crashes](fake_server::request const& got) -> script
+                     {
+                         if (crashes > 0)
+                         {
+                             crashes -= 1;
+                             return {{}, script::end::crash};
+                         }
+                         return {{whole_answer(got, 200, "fine")}};
+                     }};
         CPPUNIT_ASSERT_EQUAL(502, all.read("popular").status);
         CPPUNIT_ASSERT_EQUAL(200, all.read("popular").status);
         crashes = 2;
@@ -270,27 +278,27 @@
         CPPUNIT_ASSERT_EQUAL(200, all.read("popular").status);
     }
 
-    // Guards against many repeats that crash many servers before the first of
-    // them has ended.
+    // Guards against many concurrent retries that crash many servers before the
+    // first of them has ended.
     void a_request_on_probation_is_sent_once_at_a_time()
     {
         auto crashes = 2;
-        world all{[&crashes](fake_server::request const&) -> script
-                  {
-                      crashes -= 1;
-                      return {{},
-                              crashes >= 0 ? script::end::crash
-                                           : script::end::silent};
-                  }};
+        scenario all{[&crashes](fake_server::request const&) -> script
+                     {
+                         crashes -= 1;
+                         return {{},
+                                 crashes >= 0 ? script::end::crash
+                                              : script::end::silent};
+                     }};
         CPPUNIT_ASSERT_EQUAL(502, all.read("same").status);
         auto const before = all.sends();
         auto const waiting =
             all.here->begin(fleet_site::request("GET", "/read/same"));
         CPPUNIT_ASSERT(
             all.here->run_until([&] { return all.sends() > before; }));
-        auto const refused = all.read("same");
-        CPPUNIT_ASSERT_EQUAL(503, refused.status);
-        CPPUNIT_ASSERT(refused.head.find("Retry-After") != std::string::npos);
+        auto const rejected = all.read("same");
+        CPPUNIT_ASSERT_EQUAL(503, rejected.status);
+        CPPUNIT_ASSERT(rejected.head.find("Retry-After") != std::string::npos);
         CPPUNIT_ASSERT_EQUAL(before + 1, all.sends());
         waiting->close();
         CPPUNIT_ASSERT(
--- a/tests/gateway/decision_log_test.cpp
+++ b/tests/gateway/decision_log_test.cpp
@@ -12,12 +12,12 @@
 
 using namespace caperpath;
 
-/// The log's last lines when the process ends and its reader is slow.
+/// The last lines of the log if the process ends while its reader is slow.
 class decision_log_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(decision_log_test);
     CPPUNIT_TEST(the_last_lines_wait_for_a_slow_reader);
-    CPPUNIT_TEST(a_reader_that_never_reads_does_not_hold_the_end);
+    CPPUNIT_TEST(a_stalled_reader_does_not_block_the_exit);
     CPPUNIT_TEST_SUITE_END();
 
     struct pipe_ends
@@ -47,7 +47,7 @@
             this->ends[1] = -1;
         }
 
-        /// Everything up to the end.
+        /// Returns everything up to the end of the pipe.
         std::string read_all() const
         {
             std::string all;
@@ -63,8 +63,8 @@
         std::array<int, 2> ends{};
     };
 
-    /// More lines than a pipe holds; returns what the last one says.
-    static std::string write_much(gateway::decision_log& log)
+    /// Writes more lines than a pipe holds; returns a part of the last one.
+    static std::string fill_pipe(gateway::decision_log& log)
     {
         constexpr int lines = 200;
         std::string const filler(1'000, 'x');
@@ -76,14 +76,14 @@
         return "line=" + std::to_string(lines - 1);
     }
 
-    // Guards against the end of the log, which tells how a process ended, being
-    // lost because the pipe was full at that moment.
+    // Guards against losing the last lines, which say how the process ended,
+    // because the pipe is full.
     void the_last_lines_wait_for_a_slow_reader()
     {
         boost::asio::io_context loop;
         pipe_ends pipe;
         gateway::decision_log log{loop.get_executor(), pipe.writer(), "vm"};
-        auto const last = write_much(log);
+        auto const last = fill_pipe(log);
         log.flush();
         auto reader =
             std::async(std::launch::async, [&pipe] { return pipe.read_all(); });
@@ -92,13 +92,13 @@
         CPPUNIT_ASSERT(reader.get().find(last) != std::string::npos);
     }
 
-    // Guards against a process that cannot end because nobody reads its log.
-    void a_reader_that_never_reads_does_not_hold_the_end()
+    // Guards against a process that cannot end because its log is not read.
+    void a_stalled_reader_does_not_block_the_exit()
     {
         boost::asio::io_context loop;
         pipe_ends pipe;
         gateway::decision_log log{loop.get_executor(), pipe.writer(), "vm"};
-        auto const last = write_much(log);
+        auto const last = fill_pipe(log);
         log.finish({20});
         pipe.close_writer();
         CPPUNIT_ASSERT(pipe.read_all().find(last) == std::string::npos);
--- a/tests/gateway/fake_server.cpp
+++ b/tests/gateway/fake_server.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-fake_server::fake_server(boost::asio::io_context& loop, answerer answer)
-    : loop{loop}, answer{std::move(answer)},
+fake_server::fake_server(boost::asio::io_context& loop, answerer respond)
+    : loop{loop}, respond{std::move(respond)},
       acceptor{loop, {boost::asio::ip::make_address("127.0.0.1"), 0}}
 {
     this->accept();
@@ -87,8 +87,8 @@
             co_return;
         }
         this->requests.push_back(got);
-        auto const play = this->answer(got);
-        for (auto const& piece : play.pieces)
+        auto const reply = this->respond(got);
+        for (auto const& piece : reply.pieces)
         {
             co_await asio::async_write(
                 socket, asio::buffer(piece),
@@ -97,16 +97,16 @@
             co_await timer.async_wait(
                 asio::redirect_error(asio::use_awaitable, fault));
         }
-        if (play.after == script::end::reset)
+        if (reply.after == script::end::reset)
         {
             socket.set_option(asio::socket_base::linger{true, 0}, fault);
-            socket.close(fault); // the destructor would not reset
+            socket.close(fault); // the destructor sends no reset
         }
-        if (play.after == script::end::crash)
+        if (reply.after == script::end::crash)
         {
             this->crash();
         }
-        if (play.after == script::end::silent)
+        if (reply.after == script::end::silent)
         {
             char byte{};
             co_await socket.async_read_some(
@@ -114,7 +114,7 @@
                 asio::redirect_error(asio::use_awaitable, fault));
             this->closed_by_router += fault ? 1 : 0;
         }
-        if (play.after != script::end::keep)
+        if (reply.after != script::end::keep)
         {
             co_return;
         }
--- a/tests/gateway/fake_server.hpp
+++ b/tests/gateway/fake_server.hpp
@@ -15,22 +15,22 @@
 namespace caperpath::gateway
 {
 
-/// What a fake server does with one request, piece by piece.
+/// What a fake server does with one request.
 struct script
 {
-    std::vector<std::string> pieces; ///< raw bytes, a few ms apart
+    std::vector<std::string> pieces; ///< raw bytes, sent a few ms apart
     enum class end
     {
-        keep,   ///< the connection stays open
-        close,  ///< closed in order
-        reset,  ///< reset
-        silent, ///< nothing more, and it stays open
-        crash   ///< the process ends: all connections are reset, none is taken
+        keep,   ///< keep the connection open
+        close,  ///< close the connection
+        reset,  ///< reset the connection
+        silent, ///< send no more and keep the connection open
+        crash   ///< reset all connections and accept no more
     };
     end after{end::keep};
 };
 
-/// A backend server that answers by a script. Loop thread only.
+/// A backend server that responds by a script. Loop thread only.
 class fake_server
 {
 public:
@@ -38,11 +38,11 @@
         boost::beast::http::request<boost::beast::http::string_body>;
     using answerer = std::function<script(request const&)>;
 
-    fake_server(boost::asio::io_context& loop, answerer answer);
+    fake_server(boost::asio::io_context& loop, answerer respond);
 
     std::string address() const;
 
-    std::vector<request> requests; ///< as they came
+    std::vector<request> requests; ///< in the order of arrival
     int connections{};
     int closed_by_router{};
     bool crashed{false};
@@ -53,19 +53,20 @@
     boost::asio::awaitable<void> serve(std::shared_ptr<tcp::socket> socket);
 
     boost::asio::io_context& loop;
-    answerer answer;
+    answerer respond;
     tcp::acceptor acceptor;
     std::vector<std::weak_ptr<tcp::socket>> open;
 };
 
-/// A whole answer with the headers that servers send.
+/// Returns a complete response with the headers that servers send.
 std::string whole_answer(fake_server::request const& to, int status,
                          std::string const& body,
                          std::string const& headers = "");
 
-/// The head of a stream's answer, in chunks.
+/// Returns the head of a chunked stream response.
 std::string stream_head(fake_server::request const& to);
 
+/// Returns `bytes` as one chunk.
 std::string chunk_of(std::string const& bytes);
 
 } // namespace caperpath::gateway
--- a/tests/gateway/fake_store.cpp
+++ b/tests/gateway/fake_store.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-error const no_answer{error_kind::timeout, "call", "store", "no answer"};
+error const no_response{error_kind::timeout, "call", "store", "no response"};
 constexpr std::chrono::milliseconds call_timeout{50};
 
 } // namespace
@@ -22,31 +22,33 @@
 {
 }
 
-void fake_store::take_contents(fake_store const& before)
+void fake_store::copy_contents(fake_store const& other)
 {
-    this->version = before.version;
-    this->rows = before.rows;
-    this->tables = before.tables;
-    this->history = before.history;
-    this->now_ms = before.now_ms;
-    this->silent_for = before.silent_for;
+    this->version = other.version;
+    this->rows = other.rows;
+    this->tables = other.tables;
+    this->history = other.history;
+    this->now_ms = other.now_ms;
+    this->silent_prefix = other.silent_prefix;
 }
 
-void fake_store::later(std::function<void()> call)
+void fake_store::post_reply(std::function<void()> reply)
 {
     if (this->reachable)
     {
-        boost::asio::post(this->loop, std::move(call));
+        boost::asio::post(this->loop, std::move(reply));
         return;
     }
     auto const timer =
         std::make_shared<boost::asio::steady_timer>(this->loop, call_timeout);
-    timer->async_wait([timer, call = std::move(call)](auto const&) { call(); });
+    timer->async_wait([timer, reply = std::move(reply)](auto const&)
+                      { reply(); });
 }
 
 store::commit_result fake_store::commit(store::transaction const& txn)
 {
-    store::commit_result refused{store::commit_outcome::refused, {}, no_answer};
+    store::commit_result conflict{
+        store::commit_outcome::refused, {}, no_response};
     for (auto const& one : txn.conditions)
     {
         auto const found = this->rows.find(one.key);
@@ -54,12 +56,12 @@
                                                    : found->second;
         if (now.version != one.version)
         {
-            refused.failed.push_back(now);
+            conflict.failed.push_back(now);
         }
     }
-    if (!refused.failed.empty())
+    if (!conflict.failed.empty())
     {
-        return refused;
+        return conflict;
     }
     this->version += 1;
     for (auto const& one : txn.writes)
@@ -91,21 +93,21 @@
     }
     this->history.push_back(
         {this->version, table, {key, value.value_or(""), !value}});
-    this->answer_waiting();
+    this->reply_to_follows();
 }
 
-std::string fake_store::own(std::string const& key) const
+std::string fake_store::router_row(std::string const& key) const
 {
     auto const found = this->rows.find(key);
     return found == this->rows.end() ? std::string{} : found->second.value;
 }
 
-std::size_t fake_store::own_rows(std::string const& begin) const
+std::size_t fake_store::count_router_rows(std::string const& prefix) const
 {
     std::size_t count = 0;
     for (auto const& [key, row] : this->rows)
     {
-        count += key.starts_with(begin) ? 1 : 0;
+        count += key.starts_with(prefix) ? 1 : 0;
     }
     return count;
 }
@@ -140,22 +142,22 @@
     return page;
 }
 
-void fake_store::answer_waiting()
+void fake_store::reply_to_follows()
 {
     if (!this->reachable)
     {
         return;
     }
-    auto const all = std::exchange(this->waiters, {});
+    auto const all = std::exchange(this->pending_follows, {});
     for (auto const& one : all)
     {
         auto const page = this->changes(one.table, one.since);
         if (page.rows.empty())
         {
-            this->waiters.push_back(one);
+            this->pending_follows.push_back(one);
             continue;
         }
-        this->later([done = one.done, page] { done(page); });
+        this->post_reply([done = one.done, page] { done(page); });
     }
 }
 
@@ -165,21 +167,21 @@
     port.commit = [this](store::transaction const& txn,
                          std::function<void(store::commit_result)> const& done)
     {
-        if (this->refuses_writes > 0)
+        if (this->writes_to_reject > 0)
         {
-            this->refuses_writes -= 1;
+            this->writes_to_reject -= 1;
             store::commit_result const busy{
-                store::commit_outcome::refused, {}, no_answer};
-            this->later([done, busy] { done(busy); });
+                store::commit_outcome::refused, {}, no_response};
+            this->post_reply([done, busy] { done(busy); });
             return;
         }
         auto const applied = this->reachable;
         auto result = applied ? this->commit(txn) : store::commit_result{};
-        if (!applied || this->loses_answers)
+        if (!applied || this->loses_responses)
         {
-            result = {store::commit_outcome::unknown, {}, no_answer};
+            result = {store::commit_outcome::unknown, {}, no_response};
         }
-        this->later([done, result] { done(result); });
+        this->post_reply([done, result] { done(result); });
     };
     port.read =
         [this](std::string const& key, store::reply<store::row> const& done)
@@ -187,10 +189,11 @@
         auto const found = this->rows.find(key);
         auto const row =
             found == this->rows.end() ? store::row{key, 0, ""} : found->second;
-        auto const silent =
-            !this->silent_for.empty() && key.starts_with(this->silent_for);
+        auto const silent = !this->silent_prefix.empty() &&
+                            key.starts_with(this->silent_prefix);
         auto const lost = !this->reachable || silent;
-        this->later([done, row, lost] { lost ? done(no_answer) : done(row); });
+        this->post_reply([done, row, lost]
+                         { lost ? done(no_response) : done(row); });
     };
     port.scan = [this](std::string const& first, std::string const& last,
                        store::reply<std::vector<store::row>> const& done)
@@ -203,18 +206,18 @@
                 found.push_back(row);
             }
         }
-        auto const silent =
-            !this->silent_for.empty() && first.starts_with(this->silent_for);
+        auto const silent = !this->silent_prefix.empty() &&
+                            first.starts_with(this->silent_prefix);
         auto const lost = !this->reachable || silent;
-        this->later([done, found, lost]
-                    { lost ? done(no_answer) : done(found); });
+        this->post_reply([done, found, lost]
+                         { lost ? done(no_response) : done(found); });
     };
     port.list = [this](std::string const& table, duration,
                        store::reply<store::feed_page> const& done)
     {
         auto const lost = !this->reachable;
-        this->later([done, page = this->list(table), lost]
-                    { lost ? done(no_answer) : done(page); });
+        this->post_reply([done, page = this->list(table), lost]
+                         { lost ? done(no_response) : done(page); });
     };
     port.follow = [this](std::string const& table, std::uint64_t since,
                          duration, duration,
@@ -222,11 +225,11 @@
     {
         if (!this->reachable)
         {
-            this->later([done] { done(no_answer); });
+            this->post_reply([done] { done(no_response); });
             return;
         }
-        this->waiters.push_back({table, since, done});
-        this->answer_waiting();
+        this->pending_follows.push_back({table, since, done});
+        this->reply_to_follows();
     };
     return port;
 }
--- a/tests/gateway/fake_store.hpp
+++ b/tests/gateway/fake_store.hpp
@@ -15,41 +15,43 @@
 namespace caperpath::gateway
 {
 
-/// A store in memory with one transaction counter, for routers on `loop`. Loop
+/// An in-memory store with one transaction counter, for routers on `loop`. Loop
 /// thread only.
 class fake_store
 {
 public:
     explicit fake_store(boost::asio::io_context& loop);
 
-    /// Takes over what another store holds, as the one store that outlives its
-    /// routers. @pre nobody uses `before` any more.
-    void take_contents(fake_store const& before);
+    /// Copies the contents of `other`, for a store that outlives its routers.
+    /// @pre no router uses `other` any more.
+    void copy_contents(fake_store const& other);
 
     store::async_port port();
 
-    /// Writes a row of a table that others write; no value deletes it.
+    /// Writes a row of a table that routers only read; no value deletes the
+    /// row.
     void put(std::string const& table, std::string const& key,
              std::optional<std::string> value);
 
-    /// The value of one of the routers' rows; empty if there is none.
-    std::string own(std::string const& key) const;
+    /// Returns the value of a row that routers write; empty if there is none.
+    std::string router_row(std::string const& key) const;
 
-    /// How many of the routers' rows have a key that begins so.
-    std::size_t own_rows(std::string const& begin) const;
+    /// Returns the number of rows that routers write whose key begins with
+    /// `prefix`.
+    std::size_t count_router_rows(std::string const& prefix) const;
 
-    /// While false, no call is answered until it times out.
+    /// While false, all calls time out.
     bool reachable{true};
 
-    /// Reads and scans of rows whose key begins so are not answered; empty: all
-    /// are.
-    std::string silent_for;
+    /// Reads and scans of rows whose key begins with this prefix fail; empty:
+    /// none do.
+    std::string silent_prefix;
 
-    /// So many of the next writes are refused: the store has too many.
-    int refuses_writes{0};
+    /// How many of the next writes are rejected, as by an overloaded store.
+    int writes_to_reject{0};
 
-    /// Applied, and the answer is lost, while true.
-    bool loses_answers{false};
+    /// While true, commits are applied and their responses are lost.
+    bool loses_responses{false};
 
     std::int64_t now_ms{1'000};
 
@@ -60,7 +62,7 @@
         std::string table;
         store::feed_row row;
     };
-    struct waiting
+    struct pending_follow
     {
         std::string table;
         std::uint64_t since{};
@@ -71,15 +73,15 @@
     store::feed_page list(std::string const& table) const;
     store::feed_page changes(std::string const& table,
                              std::uint64_t since) const;
-    void answer_waiting();
-    void later(std::function<void()> call);
+    void reply_to_follows();
+    void post_reply(std::function<void()> reply);
 
     boost::asio::io_context& loop;
     std::uint64_t version{1};
     std::map<std::string, store::row> rows;
     std::map<std::string, std::map<std::string, std::string>> tables;
     std::vector<change> history;
-    std::vector<waiting> waiters;
+    std::vector<pending_follow> pending_follows;
 };
 
 } // namespace caperpath::gateway
--- a/tests/gateway/fleet_site.cpp
+++ b/tests/gateway/fleet_site.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds patience{10};
+constexpr std::chrono::seconds run_timeout{10};
 constexpr std::chrono::milliseconds slice{2};
 
 std::string route(std::string const& prefix, std::string const& kind,
@@ -44,9 +44,9 @@
 
 void read_parsed(boost::beast::http::response_parser<
                      boost::beast::http::string_body> const& parser,
-                 got_answer& got)
+                 received_response& got)
 {
-    got.whole = parser.is_done();
+    got.complete = parser.is_done();
     if (!parser.is_header_done())
     {
         return;
@@ -61,7 +61,7 @@
     got.body = parser.get().body();
 }
 
-fleet_site::fleet_site(empty with)
+fleet_site::fleet_site(without_router with)
     : log_descriptor{::open("/dev/null", O_WRONLY)}, retries{with.retries},
       grace{with.grace}, port{free_port()}
 {
@@ -69,7 +69,7 @@
 
 fleet_site::fleet_site(bool with_configuration, fleet::retry_limit retries,
                        duration grace)
-    : fleet_site{empty{retries, grace}}
+    : fleet_site{without_router{retries, grace}}
 {
     if (with_configuration)
     {
@@ -95,10 +95,10 @@
     all.store_address = "127.0.0.1:1";
     all.retries = this->retries;
     all.grace = this->grace;
-    this->lives += 1;
+    this->router_starts += 1;
     this->router = std::make_unique<gateway_server>(
         this->loop, all, platform::make_dialect(), this->store.port(),
-        incarnation_id{"vm-1-" + std::to_string(this->lives)},
+        incarnation_id{"vm-1-" + std::to_string(this->router_starts)},
         this->log_descriptor);
     boost::leaf::try_handle_all([this] { return this->router->start(); },
                                 [](error const& fault)
@@ -142,21 +142,21 @@
 }
 
 std::unique_ptr<fleet_site>
-fleet_site::after_crash(std::unique_ptr<fleet_site> dead)
+fleet_site::after_crash(std::unique_ptr<fleet_site> crashed)
 {
     std::unique_ptr<fleet_site> next{
-        new fleet_site{empty{dead->retries, dead->grace}}};
-    next->store.take_contents(dead->store);
-    next->port = dead->port;
-    next->lives = dead->lives;
-    dead.reset();
+        new fleet_site{without_router{crashed->retries, crashed->grace}}};
+    next->store.copy_contents(crashed->store);
+    next->port = crashed->port;
+    next->router_starts = crashed->router_starts;
+    crashed.reset();
     next->start_router();
     return next;
 }
 
 bool fleet_site::run_until(std::function<bool()> const& done)
 {
-    auto const end = std::chrono::steady_clock::now() + patience;
+    auto const end = std::chrono::steady_clock::now() + run_timeout;
     while (!done())
     {
         if (std::chrono::steady_clock::now() > end)
@@ -191,12 +191,12 @@
     return one;
 }
 
-got_answer fleet_site::call(std::uint16_t to, std::string const& bytes)
+received_response fleet_site::call(std::uint16_t to, std::string const& bytes)
 {
     namespace http = boost::beast::http;
     auto const one = this->connect(to);
     one->send(bytes);
-    got_answer got;
+    received_response got;
     http::response_parser<http::string_body> parser;
     parser.eager(true);
     auto const read = [&]
@@ -217,7 +217,7 @@
     return got;
 }
 
-got_answer fleet_site::send(std::string const& bytes)
+received_response fleet_site::send(std::string const& bytes)
 {
     return this->call(this->port, bytes);
 }
--- a/tests/gateway/fleet_site.hpp
+++ b/tests/gateway/fleet_site.hpp
@@ -16,20 +16,20 @@
 namespace caperpath::gateway
 {
 
-/// What a caller got on its connection.
-struct got_answer
+/// What a caller received on its connection.
+struct received_response
 {
-    int status{};     ///< 0 if no answer came
+    int status{};     ///< 0 if there is no response
     std::string head; ///< status line and headers
     std::string body;
-    bool whole{false};  ///< the answer was complete
-    bool closed{false}; ///< the router closed the connection
+    bool complete{false}; ///< the response is complete
+    bool closed{false};   ///< the router closed the connection
 };
 
-/// Puts what was parsed so far into `got`.
+/// Copies what `parser` has parsed so far into `got`.
 void read_parsed(boost::beast::http::response_parser<
                      boost::beast::http::string_body> const& parser,
-                 got_answer& got);
+                 received_response& got);
 
 /// One router with a fake store and fake servers on one loop. The store holds a
 /// configuration with these routes of host `site.example`:
@@ -41,70 +41,71 @@
 class fleet_site
 {
 public:
-    /// Each request pays for its own repeats by default; the slack takes longer
-    /// to be had than most tests last.
+    /// By default each request earns enough for its own retries; the retry
+    /// allowance becomes available only after the end of most tests.
     explicit fleet_site(bool with_configuration = true,
                         fleet::retry_limit retries = {10, 50, {10'000}},
                         duration grace = duration{8'000});
     ~fleet_site();
 
-    /// Adds a server of `service` ("app" or "llm") that answers by `answer`.
+    /// Adds a server of `service` ("app" or "llm") that responds by `answer`.
     fake_server& add_server(std::string const& id, std::string const& service,
                             fake_server::answerer answer);
 
     void put_configuration(std::int64_t version, std::int64_t paid = 100'000);
 
-    /// A site with the store and the address of one whose router has crashed.
-    /// Its servers have to be added anew.
+    /// Returns a site with the store and the address of `crashed`, whose router
+    /// has crashed. Its servers have to be added again.
     static std::unique_ptr<fleet_site>
-    after_crash(std::unique_ptr<fleet_site> dead);
+    after_crash(std::unique_ptr<fleet_site> crashed);
 
-    /// Runs the loop until `done` or for some seconds; false if it was not.
+    /// Runs the loop until `done` returns true; returns false if it does not
+    /// within 10 s.
     bool run_until(std::function<bool()> const& done);
 
-    /// Sends raw bytes over a new connection and does not wait.
+    /// Sends raw bytes over a new connection and does not wait for a response.
     connection_ptr begin(std::string const& bytes);
 
-    /// Sends raw bytes over a new connection and reads one answer.
-    got_answer send(std::string const& bytes);
+    /// Sends raw bytes over a new connection and reads one response.
+    received_response send(std::string const& bytes);
 
-    /// A request with the usual headers.
+    /// Returns a request with the usual headers.
     static std::string request(std::string const& method,
                                std::string const& path,
                                std::string const& headers = "",
                                std::string const& body = "");
 
-    /// A request to a model engine.
+    /// Returns a request to a model engine.
     static std::string prompt(std::string const& path, int prompt_tokens,
                               int output_tokens);
 
-    /// The status that the balancer sees.
+    /// Returns the status of the readiness endpoint, which the balancer reads.
     int readiness();
 
     asio::io_context loop;
     fake_store store{loop};
     std::unique_ptr<gateway_server> router;
     int log_descriptor{-1};
-    /// Of the routes in configurations that are put from now on.
+    /// Timeout of the routes in configurations that are put from now on.
     duration route_timeout{600};
 
     std::uint16_t callers_port() const;
 
 private:
-    struct empty
+    struct without_router
     {
         fleet::retry_limit retries;
         duration grace{8'000};
     };
-    explicit fleet_site(empty);
+    explicit fleet_site(without_router);
     void start_router();
     connection_ptr connect(std::uint16_t to);
-    got_answer call(std::uint16_t port, std::string const& bytes);
+    received_response call(std::uint16_t port, std::string const& bytes);
 
     std::map<std::string, std::unique_ptr<fake_server>> servers;
     fleet::retry_limit retries;
     duration grace;
-    int lives{};
+    int router_starts{};
     std::uint16_t port{};
 };
 
--- a/tests/gateway/http_call_test.cpp
+++ b/tests/gateway/http_call_test.cpp
@@ -13,13 +13,13 @@
 class http_call_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(http_call_test);
-    CPPUNIT_TEST(probes_notice_silence_in_time);
-    CPPUNIT_TEST(probes_can_be_stopped);
+    CPPUNIT_TEST(keepalive_probes_detect_silence_in_time);
+    CPPUNIT_TEST(keepalive_probes_can_be_disabled);
     CPPUNIT_TEST_SUITE_END();
 
-    struct world
+    struct scenario
     {
-        world()
+        scenario()
         {
             this->socket.open(asio::ip::tcp::v4());
         }
@@ -37,23 +37,23 @@
         asio::ip::tcp::socket socket{loop};
     };
 
-    // Guards against a held call on a connection that went silent: what the
-    // store tells meanwhile would be missed for as long as the call is held.
-    void probes_notice_silence_in_time()
+    // Guards against a long poll on a connection that went silent: changes in
+    // the store would be missed for as long as the call is held.
+    void keepalive_probes_detect_silence_in_time()
     {
-        world here;
+        scenario here;
         probe_silence(here.socket, true);
         CPPUNIT_ASSERT_EQUAL(1, here.option(SOL_SOCKET, SO_KEEPALIVE));
-        auto const noticed_s = here.option(IPPROTO_TCP, TCP_KEEPIDLE) +
-                               here.option(IPPROTO_TCP, TCP_KEEPINTVL) *
-                                   here.option(IPPROTO_TCP, TCP_KEEPCNT);
-        CPPUNIT_ASSERT(duration{noticed_s * 1'000} <= duration{2'000});
+        auto const detected_s = here.option(IPPROTO_TCP, TCP_KEEPIDLE) +
+                                here.option(IPPROTO_TCP, TCP_KEEPINTVL) *
+                                    here.option(IPPROTO_TCP, TCP_KEEPCNT);
+        CPPUNIT_ASSERT(duration{detected_s * 1'000} <= duration{2'000});
     }
 
-    // Guards against idle connections that each lost packet ends.
-    void probes_can_be_stopped()
+    // Guards against idle connections that end with each lost packet.
+    void keepalive_probes_can_be_disabled()
     {
-        world here;
+        scenario here;
         probe_silence(here.socket, true);
         probe_silence(here.socket, false);
         CPPUNIT_ASSERT_EQUAL(0, here.option(SOL_SOCKET, SO_KEEPALIVE));
--- a/tests/gateway/own_link_test.cpp
+++ b/tests/gateway/own_link_test.cpp
@@ -13,13 +13,13 @@
 class own_link_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(own_link_test);
-    CPPUNIT_TEST(a_router_that_hears_from_nobody_leaves_the_rotation);
+    CPPUNIT_TEST(a_router_with_a_full_uplink_leaves_the_rotation);
     CPPUNIT_TEST(a_router_whose_servers_are_silent_stays_in_rotation);
     CPPUNIT_TEST(a_router_without_the_store_stays_in_rotation);
     CPPUNIT_TEST_SUITE_END();
 
-    /// An address at which connects are neither accepted nor refused: its queue
-    /// is full.
+    /// An address whose accept queue is full, so that connects are neither
+    /// accepted nor rejected.
     struct silent_address
     {
         explicit silent_address(asio::io_context& loop) : acceptor{loop}
@@ -46,8 +46,8 @@
         std::vector<tcp::socket> queue;
     };
 
-    /// A site in which callers ask all the time.
-    struct world
+    /// A site whose callers send requests all the time.
+    struct scenario
     {
         fleet_site site;
         silent_address first{site.loop};
@@ -70,13 +70,14 @@
                     R"(","zone":"z","batch-slots":4,"state":"healthy"})");
         }
 
-        /// True once the balancer gets `status`, asked for at most `longest`.
-        bool reaches(int status, std::chrono::milliseconds longest)
+        /// Sends requests until the readiness endpoint returns `status`; false
+        /// if it does not within `timeout`.
+        bool reaches_readiness(int status, std::chrono::milliseconds timeout)
         {
-            auto const end = std::chrono::steady_clock::now() + longest;
+            auto const end = std::chrono::steady_clock::now() + timeout;
             while (std::chrono::steady_clock::now() < end)
             {
-                this->ask();
+                this->send_request();
                 if (this->site.readiness() == status)
                 {
                     return true;
@@ -85,10 +86,10 @@
             return false;
         }
 
-        void ask()
+        void send_request()
         {
-            constexpr std::size_t most_open = 40;
-            if (this->callers.size() == most_open)
+            constexpr std::size_t max_open = 40;
+            if (this->callers.size() == max_open)
             {
                 this->callers.front()->close();
                 this->callers.erase(this->callers.begin());
@@ -104,49 +105,50 @@
         }
     };
 
-    static constexpr std::chrono::milliseconds long_enough{10'000};
-    static constexpr std::chrono::milliseconds for_a_while{3'000};
+    static constexpr std::chrono::milliseconds change_timeout{10'000};
+    static constexpr std::chrono::milliseconds observation_time{3'000};
 
-    // Guards against callers who keep a router's link full, so that its
-    // configuration is old and none of its servers can be reached.
-    void a_router_that_hears_from_nobody_leaves_the_rotation()
+    // Callers fill a router's uplink. Guards against a router that stays in
+    // rotation although its configuration is stale and it can reach none of its
+    // servers.
+    void a_router_with_a_full_uplink_leaves_the_rotation()
     {
-        world here;
-        CPPUNIT_ASSERT(here.reaches(200, long_enough));
+        scenario here;
+        CPPUNIT_ASSERT(here.reaches_readiness(200, change_timeout));
         here.list_silent_servers();
         here.store_changes = true;
-        here.ask();
+        here.send_request();
         here.store_changes = false;
         here.site.store.reachable = false;
-        CPPUNIT_ASSERT(here.reaches(503, long_enough));
+        CPPUNIT_ASSERT(here.reaches_readiness(503, change_timeout));
 
         here.site.store.reachable = true;
         here.store_changes = true;
-        CPPUNIT_ASSERT(here.reaches(200, long_enough));
+        CPPUNIT_ASSERT(here.reaches_readiness(200, change_timeout));
     }
 
-    // Guards against taking servers that are down for a full link.
+    // Guards against mistaking servers that are down for a full uplink.
     void a_router_whose_servers_are_silent_stays_in_rotation()
     {
-        world here;
+        scenario here;
         here.list_silent_servers();
         here.store_changes = true;
-        CPPUNIT_ASSERT(here.reaches(200, long_enough));
-        CPPUNIT_ASSERT(!here.reaches(503, for_a_while));
+        CPPUNIT_ASSERT(here.reaches_readiness(200, change_timeout));
+        CPPUNIT_ASSERT(!here.reaches_readiness(503, observation_time));
     }
 
     // Guards against a fleet that leaves the rotation when the store is down.
     void a_router_without_the_store_stays_in_rotation()
     {
-        world here;
-        auto const answers = [](fake_server::request const& got)
+        scenario here;
+        auto const respond_done = [](fake_server::request const& got)
         {
             return script{{whole_answer(got, 200, "done")}};
         };
-        here.site.add_server("i-1", "app", answers);
-        CPPUNIT_ASSERT(here.reaches(200, long_enough));
+        here.site.add_server("i-1", "app", respond_done);
+        CPPUNIT_ASSERT(here.reaches_readiness(200, change_timeout));
         here.site.store.reachable = false;
-        CPPUNIT_ASSERT(!here.reaches(503, for_a_while));
+        CPPUNIT_ASSERT(!here.reaches_readiness(503, observation_time));
     }
 };
 
--- a/tests/gateway/plain_caller.hpp
+++ b/tests/gateway/plain_caller.hpp
@@ -15,27 +15,27 @@
 namespace caperpath::gateway
 {
 
-/// A caller whose connection does not depend on the router's event loop: what
-/// it reads is what the router has handed to the kernel, as it is left to a
-/// caller when the process is gone.
-class plain_caller
+/// A caller whose connection does not depend on the router's event loop: it
+/// reads what the router has handed to the kernel, which a caller receives even
+/// after the process has ended.
+class standalone_client
 {
 public:
-    /// @throws boost::system::system_error if nobody listens at `port`.
-    /// `receive_buffer` bytes, about, wait in the kernel for this caller to
-    /// read; 0: the system's default.
-    explicit plain_caller(std::uint16_t port, int receive_buffer = 0);
+    /// Connects to `port` with a kernel receive buffer of about
+    /// `receive_buffer` bytes; 0: the default of the system. @throws
+    /// boost::system::system_error if nothing listens at `port`.
+    explicit standalone_client(std::uint16_t port, int receive_buffer = 0);
 
     void send(std::string const& bytes);
 
-    /// The first answer, as far as it has arrived by now. Does not wait.
-    /// Reads about `most` bytes; 0: all.
-    got_answer received(std::size_t most = 0);
+    /// Returns the first response, as far as it has arrived. Does not wait.
+    /// Reads about `max_bytes` bytes; 0: all.
+    received_response received(std::size_t max_bytes = 0);
 
 private:
-    boost::asio::io_context own;
+    boost::asio::io_context client_loop;
     tcp::socket socket;
-    boost::beast::flat_buffer arrived;
+    boost::beast::flat_buffer unparsed;
     boost::beast::http::response_parser<boost::beast::http::string_body> parser;
 };
 
--- a/tests/gateway/settings_test.cpp
+++ b/tests/gateway/settings_test.cpp
@@ -12,8 +12,8 @@
     CPPUNIT_TEST_SUITE(gateway_settings_test);
     CPPUNIT_TEST(the_example_is_valid);
     CPPUNIT_TEST(faults_name_field_and_unit);
-    CPPUNIT_TEST(a_window_that_the_limit_cannot_keep_is_refused);
-    CPPUNIT_TEST(the_template_names_every_field_it_fills);
+    CPPUNIT_TEST(an_unsupported_retry_window_is_rejected);
+    CPPUNIT_TEST(the_template_names_every_field);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::array fields{
@@ -36,6 +36,7 @@
         return faults;
     }
 
+    // Guards against an example that the router rejects.
     void the_example_is_valid()
     {
         std::vector<config::fault> faults;
@@ -46,8 +47,8 @@
         CPPUNIT_ASSERT(read.grace == duration{8'000});
     }
 
-    // An operator mistypes a setting. Without a name in the message the machine
-    // stays down until somebody reads the source.
+    // An operator mistypes a setting. Guards against a message without the name
+    // of the field or its unit: the operator could not find the mistake.
     void faults_name_field_and_unit()
     {
         auto value = example();
@@ -69,9 +70,10 @@
         }
     }
 
-    // With a window of no time the slack would be there anew each millisecond;
-    // a very long one would outlast what a router remembers of those that left.
-    void a_window_that_the_limit_cannot_keep_is_refused()
+    // Guards against a window of zero, which would renew the retry allowance
+    // each millisecond, and against one that is longer than a router remembers
+    // routers that left.
+    void an_unsupported_retry_window_is_rejected()
     {
         for (nlohmann::json const& wrong :
              {nlohmann::json(0), nlohmann::json(0.5), nlohmann::json(-10),
@@ -93,8 +95,9 @@
         }
     }
 
-    // The template and the reader drift apart, and no machine starts.
-    void the_template_names_every_field_it_fills()
+    // Guards against a template that differs from the reader, with which no
+    // machine starts.
+    void the_template_names_every_field()
     {
         std::ifstream file{CAPERPATH_SOURCE_DIR
                            "/deploy/gateway.json.template"};
--- a/tests/gateway/shutdown_test.cpp
+++ b/tests/gateway/shutdown_test.cpp
@@ -9,24 +9,24 @@
 using namespace caperpath;
 using namespace caperpath::gateway;
 
-/// Each request that was read has its answer before a stopped process ends.
+/// Each request that was read gets its response before a stopped process ends.
 class shutdown_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(shutdown_test);
-    CPPUNIT_TEST(an_order_open_at_the_end_is_answered);
-    CPPUNIT_TEST(a_stream_open_at_the_end_is_broken_off_visibly);
-    CPPUNIT_TEST(what_cannot_end_in_time_is_not_begun);
-    CPPUNIT_TEST(what_ends_in_time_is_served);
-    CPPUNIT_TEST(a_request_read_in_part_at_the_end_is_answered);
-    CPPUNIT_TEST(a_second_signal_and_a_configuration_change_no_deadline);
-    CPPUNIT_TEST(a_router_stopped_at_its_start_answers_and_ends);
-    CPPUNIT_TEST(a_loop_that_is_behind_at_the_end_still_answers);
-    CPPUNIT_TEST(a_large_answer_reaches_a_slow_caller_whole);
+    CPPUNIT_TEST(an_order_open_at_the_end_gets_a_response);
+    CPPUNIT_TEST(a_stream_open_at_the_end_is_seen_as_truncated);
+    CPPUNIT_TEST(a_request_that_cannot_end_in_time_is_rejected);
+    CPPUNIT_TEST(a_request_that_ends_in_time_is_served);
+    CPPUNIT_TEST(a_partly_read_request_gets_a_response);
+    CPPUNIT_TEST(a_second_signal_or_configuration_keeps_the_deadline);
+    CPPUNIT_TEST(a_router_stopped_at_its_start_responds_and_ends);
+    CPPUNIT_TEST(an_event_loop_that_lags_at_the_end_still_responds);
+    CPPUNIT_TEST(a_large_response_reaches_a_slow_caller_complete);
     CPPUNIT_TEST(a_caller_that_still_reads_is_not_idle);
-    CPPUNIT_TEST(a_signal_seen_late_leaves_time_for_the_answers);
-    CPPUNIT_TEST(a_prompt_without_tokens_left_goes_elsewhere_at_once);
-    CPPUNIT_TEST(failures_do_not_count_as_quick_work);
-    CPPUNIT_TEST(an_outage_of_the_store_does_not_keep_answers_back);
+    CPPUNIT_TEST(a_signal_handled_late_leaves_time_for_responses);
+    CPPUNIT_TEST(a_prompt_without_tokens_is_sent_elsewhere_at_once);
+    CPPUNIT_TEST(fast_failures_do_not_lower_the_expected_duration);
+    CPPUNIT_TEST(a_store_outage_does_not_delay_responses);
     CPPUNIT_TEST_SUITE_END();
 
     using request = fake_server::request;
@@ -36,10 +36,10 @@
     static constexpr std::size_t large_size = 12'000'000;
     static constexpr std::size_t slow_read = 120'000;
 
-    /// A site whose requests may outlast the router's stop.
-    struct world
+    /// A site whose requests may take longer than the stop of the router.
+    struct scenario
     {
-        explicit world(duration with_grace = grace)
+        explicit scenario(duration with_grace = grace)
             : site{false, {10, 50, {10'000}}, with_grace}
         {
             this->site.route_timeout = long_timeout;
@@ -52,13 +52,14 @@
                 [this] { return this->site.readiness() == 200; }));
         }
 
-        /// A caller that sent `bytes` and whose request a server has taken.
-        std::unique_ptr<plain_caller> begin(std::string const& bytes,
-                                            fake_server const& server)
+        /// Returns a caller that sent `bytes`, once a server has received the
+        /// request.
+        std::unique_ptr<standalone_client> begin(std::string const& bytes,
+                                                 fake_server const& server)
         {
             auto caller =
-                std::make_unique<plain_caller>(this->site.callers_port());
-            caller->send(patient(bytes));
+                std::make_unique<standalone_client>(this->site.callers_port());
+            caller->send(with_long_deadline(bytes));
             CPPUNIT_ASSERT(
                 this->site.run_until([&] { return !server.requests.empty(); }));
             return caller;
@@ -71,11 +72,11 @@
                 [this] { return this->site.router->stopped(); }));
         }
 
-        static std::string patient(std::string bytes)
+        static std::string with_long_deadline(std::string bytes)
         {
-            std::string const usual{"Deadline-Ms: 1500"};
-            return bytes.replace(bytes.find(usual), usual.size(),
-                                 "Deadline-Ms: 30000");
+            std::string const default_deadline{"Deadline-Ms: 1500"};
+            return bytes.replace(bytes.find(default_deadline),
+                                 default_deadline.size(), "Deadline-Ms: 30000");
         }
 
         fleet_site site;
@@ -86,8 +87,8 @@
         return {{}, script::end::silent};
     }
 
-    /// Its answer takes longer than a grace time of 800 ms.
-    static script slow(request const& got)
+    /// Its response takes longer than a grace time of 800 ms.
+    static script respond_slowly(request const& got)
     {
         constexpr int pieces = 500;
         script all{{"HTTP/1.1 200 OK\r\nRequest-Id: " +
@@ -98,10 +99,11 @@
         return all;
     }
 
-    // Guards against a process that ends while a server works on an order.
-    void an_order_open_at_the_end_is_answered()
+    // Guards against a process that ends without a response while a server
+    // works on an order.
+    void an_order_open_at_the_end_gets_a_response()
     {
-        world here;
+        scenario here;
         auto& server = here.site.add_server("i-1", "app", silent);
         here.wait_ready();
         auto caller = here.begin(
@@ -109,16 +111,16 @@
         here.stop_to_the_end();
         auto const got = caller->received();
         CPPUNIT_ASSERT_EQUAL(504, got.status);
-        CPPUNIT_ASSERT(got.whole);
+        CPPUNIT_ASSERT(got.complete);
         CPPUNIT_ASSERT(got.head.find("Connection: close") != std::string::npos);
         CPPUNIT_ASSERT_EQUAL(1, server.closed_by_router);
     }
 
-    // Guards against a caller that takes a stream cut by the process's end for
-    // a whole one, or waits for its rest.
-    void a_stream_open_at_the_end_is_broken_off_visibly()
+    // Guards against a caller that takes a stream truncated by the end of the
+    // process for complete, or waits for the rest.
+    void a_stream_open_at_the_end_is_seen_as_truncated()
     {
-        world here;
+        scenario here;
         auto& server = here.site.add_server(
             "i-1", "llm",
             [](request const& got)
@@ -133,20 +135,21 @@
         here.stop_to_the_end();
         auto const got = caller->received();
         CPPUNIT_ASSERT_EQUAL(200, got.status);
-        CPPUNIT_ASSERT(!got.whole);
+        CPPUNIT_ASSERT(!got.complete);
         CPPUNIT_ASSERT(got.closed);
         CPPUNIT_ASSERT_EQUAL(1, server.closed_by_router);
     }
 
-    // Guards against a stopping router that takes work which outlasts it.
-    void what_cannot_end_in_time_is_not_begun()
+    // Guards against a stopping router that accepts work which takes longer
+    // than its stop.
+    void a_request_that_cannot_end_in_time_is_rejected()
     {
-        world here{duration{800}};
-        auto& server = here.site.add_server("i-1", "app", slow);
+        scenario here{duration{800}};
+        auto& server = here.site.add_server("i-1", "app", respond_slowly);
         here.wait_ready();
         auto const order = [&here]
         {
-            return here.site.send(world::patient(
+            return here.site.send(scenario::with_long_deadline(
                 fleet_site::request("POST", "/order/1", "", "order")));
         };
         CPPUNIT_ASSERT_EQUAL(200, order().status);
@@ -158,10 +161,10 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server.requests.size());
     }
 
-    // Guards against a stopping router that sends away what it can serve.
-    void what_ends_in_time_is_served()
+    // Guards against a stopping router that rejects work which it can finish.
+    void a_request_that_ends_in_time_is_served()
     {
-        world here;
+        scenario here;
         here.site.add_server(
             "i-1", "app",
             [](request const& got)
@@ -169,7 +172,7 @@
         here.wait_ready();
         auto const order = [&]
         {
-            return here.site.send(world::patient(
+            return here.site.send(scenario::with_long_deadline(
                 fleet_site::request("POST", "/order/1", "", "order")));
         };
         CPPUNIT_ASSERT_EQUAL(200, order().status);
@@ -179,58 +182,63 @@
         CPPUNIT_ASSERT(got.head.find("Connection: close") != std::string::npos);
     }
 
-    // Guards against a long body whose sender is left without an answer.
-    void a_request_read_in_part_at_the_end_is_answered()
+    // Guards against a caller that still sends its body when the process ends
+    // and gets no response.
+    void a_partly_read_request_gets_a_response()
     {
-        world here;
+        scenario here;
         here.wait_ready();
-        plain_caller caller{here.site.callers_port()};
-        auto const whole = fleet_site::request("POST", "/order/1", "", "order");
-        caller.send(whole.substr(0, whole.size() - 1));
+        standalone_client caller{here.site.callers_port()};
+        auto const full_request =
+            fleet_site::request("POST", "/order/1", "", "order");
+        caller.send(full_request.substr(0, full_request.size() - 1));
         here.stop_to_the_end();
         auto const got = caller.received();
         CPPUNIT_ASSERT_EQUAL(503, got.status);
         CPPUNIT_ASSERT(got.closed);
     }
 
-    // Guards against a stop that begins anew, past its grace time.
-    void a_second_signal_and_a_configuration_change_no_deadline()
+    // Guards against a second signal or a new configuration that restarts the
+    // stop and exceeds the grace time.
+    void a_second_signal_or_configuration_keeps_the_deadline()
     {
-        world here;
+        scenario here;
         auto& server = here.site.add_server("i-1", "app", silent);
         here.wait_ready();
         auto caller = here.begin(
             fleet_site::request("POST", "/order/1", "", "order"), server);
         here.site.router->stop();
         here.site.put_configuration(2);
-        int looks = 0;
+        int polls = 0;
         CPPUNIT_ASSERT(here.site.run_until(
             [&]
             {
-                looks += 1;
+                polls += 1;
                 here.site.router->stop();
                 here.site.router->reload();
                 return here.site.router->stopped();
             }));
-        CPPUNIT_ASSERT(looks > 1);
+        CPPUNIT_ASSERT(polls > 1);
         CPPUNIT_ASSERT_EQUAL(504, caller->received().status);
     }
 
-    // Guards against a process that waits for what it has not read yet.
-    void a_router_stopped_at_its_start_answers_and_ends()
+    // Guards against a stopping process that waits for a configuration it has
+    // not read yet.
+    void a_router_stopped_at_its_start_responds_and_ends()
     {
         fleet_site here{false, {10, 50, {10'000}}, grace};
         here.router->stop();
-        plain_caller caller{here.callers_port()};
+        standalone_client caller{here.callers_port()};
         caller.send(fleet_site::request("POST", "/order/1", "", "order"));
         CPPUNIT_ASSERT(here.run_until([&] { return here.router->stopped(); }));
         CPPUNIT_ASSERT_EQUAL(503, caller.received().status);
     }
 
-    // Guards against a process that ends before its requests' timers were run.
-    void a_loop_that_is_behind_at_the_end_still_answers()
+    // Guards against a process that ends before the expired timers of its
+    // requests were handled.
+    void an_event_loop_that_lags_at_the_end_still_responds()
     {
-        world here{duration{800}};
+        scenario here{duration{800}};
         auto& server = here.site.add_server("i-1", "app", silent);
         here.wait_ready();
         auto caller = here.begin(
@@ -242,45 +250,48 @@
         CPPUNIT_ASSERT_EQUAL(504, caller->received().status);
     }
 
-    static script large(request const& got)
+    static script respond_large(request const& got)
     {
         return {{whole_answer(got, 200, std::string(large_size, 'x'))}};
     }
 
-    /// Reads `caller`'s answer in small steps, for `longest` at most.
-    static got_answer read_slowly(fleet_site& site, plain_caller& caller)
+    /// Reads the response to `caller` in small steps until it ends or the
+    /// site's time limit passes.
+    static received_response read_slowly(fleet_site& site,
+                                         standalone_client& caller)
     {
-        got_answer got;
+        received_response got;
         site.run_until(
             [&]
             {
                 site.loop.run_for(std::chrono::milliseconds{5});
                 got = caller.received(slow_read);
-                return got.whole || got.closed;
+                return got.complete || got.closed;
             });
         return got;
     }
 
-    // Guards against a connection closed while its caller reads the answer.
-    void a_large_answer_reaches_a_slow_caller_whole()
+    // Guards against a connection that is closed while its caller still reads
+    // the response.
+    void a_large_response_reaches_a_slow_caller_complete()
     {
-        world here{duration{8'000}};
-        auto& server = here.site.add_server("i-1", "app", large);
+        scenario here{duration{8'000}};
+        auto& server = here.site.add_server("i-1", "app", respond_large);
         here.wait_ready();
         auto caller = here.begin(
             fleet_site::request("POST", "/order/1", "Connection: close\r\n"),
             server);
         auto const got = read_slowly(here.site, *caller);
-        CPPUNIT_ASSERT(got.whole);
+        CPPUNIT_ASSERT(got.complete);
         CPPUNIT_ASSERT_EQUAL(large_size, got.body.size());
     }
 
-    // Guards against a kept connection that is closed as idle in a stop while
-    // its answer is on its way.
+    // Guards against a persistent connection that a stop closes as idle while
+    // its response is being sent.
     void a_caller_that_still_reads_is_not_idle()
     {
-        world here{duration{3'000}};
-        auto& server = here.site.add_server("i-1", "app", large);
+        scenario here{duration{3'000}};
+        auto& server = here.site.add_server("i-1", "app", respond_large);
         here.wait_ready();
         auto caller =
             here.begin(fleet_site::request("POST", "/order/1"), server);
@@ -288,14 +299,14 @@
             [&] { return caller->received(1).status == 200; }));
         here.site.router->stop();
         auto const got = read_slowly(here.site, *caller);
-        CPPUNIT_ASSERT(got.whole);
+        CPPUNIT_ASSERT(got.complete);
     }
 
-    // Guards against answers due after the kill of a process whose loop was
-    // busy when the signal came.
-    void a_signal_seen_late_leaves_time_for_the_answers()
+    // The event loop is busy when the signal arrives. Guards against responses
+    // that are due only after the process is killed.
+    void a_signal_handled_late_leaves_time_for_responses()
     {
-        world here{duration{1'000}};
+        scenario here{duration{1'000}};
         auto& server = here.site.add_server("i-1", "app", silent);
         here.wait_ready();
         auto caller = here.begin(
@@ -307,10 +318,11 @@
         CPPUNIT_ASSERT_EQUAL(504, caller->received().status);
     }
 
-    // Guards against callers told to wait for a budget that is not used up.
-    void a_prompt_without_tokens_left_goes_elsewhere_at_once()
+    // Guards against callers that are told to wait for their budget although it
+    // is not used up, since only the stopping router has no tokens left.
+    void a_prompt_without_tokens_is_sent_elsewhere_at_once()
     {
-        world here{duration{4'000}};
+        scenario here{duration{4'000}};
         here.site.add_server("i-1", "llm",
                              [](request const& got)
                              {
@@ -320,7 +332,7 @@
                              });
         here.wait_ready();
         here.site.router->stop();
-        got_answer got;
+        received_response got;
         CPPUNIT_ASSERT(here.site.run_until(
             [&]
             {
@@ -332,26 +344,28 @@
                        std::string::npos);
     }
 
-    // Guards against late work begun because a route's servers fail fast.
-    void failures_do_not_count_as_quick_work()
+    // Guards against accepting work that cannot end in time because fast
+    // failures of a route's servers lowered its expected duration.
+    void fast_failures_do_not_lower_the_expected_duration()
     {
-        world here{duration{800}};
-        auto fails = true;
+        scenario here{duration{800}};
+        auto must_fail = true;
         auto& server = here.site.add_server(
             "i-1", "app",
-            [&fails](request const& got) {
-                return fails ? script{{whole_answer(got, 500, "sorry")}}
-                             : slow(got);
+            [&must_fail](request const& got)
+            {
+                return must_fail ? script{{whole_answer(got, 500, "sorry")}}
+                                 : respond_slowly(got);
             });
         here.wait_ready();
         auto const order = [&here]
         {
-            return here.site.send(world::patient(
+            return here.site.send(scenario::with_long_deadline(
                 fleet_site::request("POST", "/order/1", "", "order")));
         };
-        fails = false;
+        must_fail = false;
         CPPUNIT_ASSERT_EQUAL(200, order().status);
-        fails = true;
+        must_fail = true;
         for (int i = 0; i < 200; ++i)
         {
             order();
@@ -362,10 +376,10 @@
         CPPUNIT_ASSERT_EQUAL(before, server.requests.size());
     }
 
-    // Guards against answers that wait for the store at the end of a stop.
-    void an_outage_of_the_store_does_not_keep_answers_back()
+    // Guards against responses that wait for the store at the end of a stop.
+    void a_store_outage_does_not_delay_responses()
     {
-        world here;
+        scenario here;
         auto& server = here.site.add_server("i-1", "llm", silent);
         here.wait_ready();
         auto caller =
--- a/tests/gateway/table_follower_test.cpp
+++ b/tests/gateway/table_follower_test.cpp
@@ -16,14 +16,14 @@
 class table_follower_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(table_follower_test);
-    CPPUNIT_TEST(a_change_that_takes_long_to_arrive_is_not_read_anew);
-    CPPUNIT_TEST(a_table_that_takes_long_to_arrive_is_not_read_anew);
-    CPPUNIT_TEST(a_table_is_read_anew_after_a_stall);
-    CPPUNIT_TEST(a_table_is_read_anew_after_a_trickle);
-    CPPUNIT_TEST(a_lost_call_does_not_read_the_table_anew);
-    CPPUNIT_TEST(a_dropped_history_reads_the_table_anew);
-    CPPUNIT_TEST(an_outage_reads_the_table_anew);
-    CPPUNIT_TEST(an_answer_that_begins_late_is_waited_for);
+    CPPUNIT_TEST(a_change_on_a_slow_link_is_not_read_again);
+    CPPUNIT_TEST(a_table_on_a_slow_link_is_not_read_again);
+    CPPUNIT_TEST(a_table_is_read_again_after_a_stall);
+    CPPUNIT_TEST(a_table_is_read_again_after_a_trickle);
+    CPPUNIT_TEST(a_lost_call_does_not_read_the_table_again);
+    CPPUNIT_TEST(a_dropped_history_reads_the_table_again);
+    CPPUNIT_TEST(an_outage_reads_the_table_again);
+    CPPUNIT_TEST(a_response_that_begins_late_is_waited_for);
     CPPUNIT_TEST(a_follower_that_lags_behind_reads_the_newest_version);
     CPPUNIT_TEST_SUITE_END();
 
@@ -41,9 +41,9 @@
                std::to_string(version) + "}";
     }
 
-    /// `text` with blanks around it, which JSON allows, in pieces.
-    static std::vector<std::string> slowly(fake_server::request const& to,
-                                           std::string const& text)
+    /// Pieces of a response with `text`, followed by blanks, which JSON allows.
+    static std::vector<std::string>
+    slow_response(fake_server::request const& to, std::string const& text)
     {
         auto const padding = std::string(piece_size * many_pieces, ' ');
         auto const bytes = whole_answer(to, 200, text + padding);
@@ -56,9 +56,9 @@
     }
 
     /// A store and a router's follower of one of its tables.
-    struct world
+    struct scenario
     {
-        explicit world(fake_server::answerer answer)
+        explicit scenario(fake_server::answerer answer)
             : server{loop, std::move(answer)}
         {
             this->follower.start();
@@ -66,8 +66,8 @@
 
         bool run_until_seen(std::string const& key)
         {
-            constexpr int most_slices = 2'000;
-            for (int i = 0; i < most_slices; ++i)
+            constexpr int max_slices = 2'000;
+            for (int i = 0; i < max_slices; ++i)
             {
                 this->loop.run_for(std::chrono::milliseconds{5});
                 if (std::find(this->seen.begin(), this->seen.end(), key) !=
@@ -115,50 +115,54 @@
         return got.target().find("rows-get") != std::string::npos;
     }
 
-    // A change is large and the router's link is slow. Given up after a fixed
-    // time, it is read from its first byte again and again, and the router
-    // serves by an older configuration meanwhile.
-    void a_change_that_takes_long_to_arrive_is_not_read_anew()
+    // A change is large and the uplink of the router is slow. Guards against a
+    // fixed timeout: the change would be read from its first byte again and
+    // again while the router serves with a stale configuration.
+    void a_change_on_a_slow_link_is_not_read_again()
     {
-        auto told = false;
-        world here{[&told](fake_server::request const& got) -> script
-                   {
-                       if (is_list(got))
-                       {
-                           return {{whole_answer(got, 200, page("first", 1))}};
-                       }
-                       if (told)
-                       {
-                           return {{}, script::end::silent};
-                       }
-                       told = true;
-                       return {slowly(got, page("second", 2))};
-                   }};
+        auto change_sent = false;
+        scenario here{[&change_sent](fake_server::request const& got) -> script
+                      {
+                          if (is_list(got))
+                          {
+                              return {
+                                  {whole_answer(got, 200, page("first", 1))}};
+                          }
+                          if (change_sent)
+                          {
+                              return {{}, script::end::silent};
+                          }
+                          change_sent = true;
+                          return {slow_response(got, page("second", 2))};
+                      }};
         CPPUNIT_ASSERT(here.run_until_seen("second"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1}, here.lists());
     }
 
     // The same for the whole table, which a router reads at its start and after
-    // each lost call.
-    void a_table_that_takes_long_to_arrive_is_not_read_anew()
+    // an outage.
+    void a_table_on_a_slow_link_is_not_read_again()
     {
-        world here{[](fake_server::request const& got) -> script
-                   {
-                       if (!is_list(got))
-                       {
-                           return {{}, script::end::silent};
-                       }
-                       return {slowly(got, page("first", 1))};
-                   }};
+        scenario here{[](fake_server::request const& got) -> script
+                      {
+                          if (!is_list(got))
+                          {
+                              return {{}, script::end::silent};
+                          }
+                          return {slow_response(got, page("first", 1))};
+                      }};
         CPPUNIT_ASSERT(here.run_until_seen("first"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1}, here.lists());
     }
 
-    static world after(std::vector<std::string> const& broken_off)
+    /// The first read of the table stalls after the pieces `truncated`; the
+    /// next ones succeed.
+    static scenario
+    after_truncated_list(std::vector<std::string> const& truncated)
     {
         auto const lists = std::make_shared<int>(0);
-        return world{
-            [broken_off, lists](fake_server::request const& got)
+        return scenario{
+            [truncated, lists](fake_server::request const& got)
             {
                 if (!is_list(got))
                 {
@@ -166,49 +170,51 @@
                 }
                 *lists += 1;
                 return *lists == 1
-                           ? script{broken_off, script::end::silent}
+                           ? script{truncated, script::end::silent}
                            : script{{whole_answer(got, 200, page("first", 1))}};
             }};
     }
 
-    // A connection goes silent in the middle of an answer. Waited for without a
-    // limit, the router would never hear of a change again.
-    void a_table_is_read_anew_after_a_stall()
+    // A connection goes silent within a response. Guards against waiting
+    // without a limit: the router would never receive a change again.
+    void a_table_is_read_again_after_a_stall()
     {
-        auto here = after({"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n",
-                           std::string(piece_size, ' ')});
+        auto here = after_truncated_list(
+            {"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n",
+             std::string(piece_size, ' ')});
         CPPUNIT_ASSERT(here.run_until_seen("first"));
     }
 
-    // A peer sends a byte now and then. Each byte must not begin the wait anew.
-    void a_table_is_read_anew_after_a_trickle()
+    // A peer sends single bytes at long intervals. Guards against a timeout
+    // that each byte restarts.
+    void a_table_is_read_again_after_a_trickle()
     {
         constexpr std::size_t trickled_bytes = 1'500;
         std::vector<std::string> pieces(trickled_bytes, " ");
         pieces.front() = "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n";
-        auto here = after(pieces);
+        auto here = after_truncated_list(pieces);
         CPPUNIT_ASSERT(here.run_until_seen("first"));
         CPPUNIT_ASSERT(here.server.requests.size() >= 2);
     }
 
-    /// A table with one row, and a second one as its first change; calls for
-    /// changes get what `lost` says as often as that.
-    static world changing(int times, script const& lost)
+    /// A table with one row, and a second one as its first change. The first
+    /// `failures` calls for changes get the response `failure`.
+    static scenario with_failed_follows(int failures, script const& failure)
     {
         auto const calls = std::make_shared<int>(0);
-        return world{
-            [times, lost, calls](fake_server::request const& got)
+        return scenario{
+            [failures, failure, calls](fake_server::request const& got)
             {
                 if (is_list(got))
                 {
                     return script{{whole_answer(got, 200, page("first", 1))}};
                 }
                 *calls += 1;
-                if (*calls <= times)
+                if (*calls <= failures)
                 {
-                    return lost;
+                    return failure;
                 }
-                if (*calls == times + 1)
+                if (*calls == failures + 1)
                 {
                     return script{{whole_answer(got, 200, page("second", 2))}};
                 }
@@ -216,38 +222,40 @@
             }};
     }
 
-    // All routers lose their connections at once. Were each to read the whole
-    // table again, a large one would fill their links.
-    void a_lost_call_does_not_read_the_table_anew()
+    // All routers lose their connections at once. Guards against each of them
+    // reading the whole table again: a large table would fill their uplinks.
+    void a_lost_call_does_not_read_the_table_again()
     {
-        auto here = changing(1, {{}, script::end::reset});
+        auto here = with_failed_follows(1, {{}, script::end::reset});
         CPPUNIT_ASSERT(here.run_until_seen("second"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1}, here.lists());
     }
 
     // Guards against a change that is missed because the store dropped it from
     // its history.
-    void a_dropped_history_reads_the_table_anew()
+    void a_dropped_history_reads_the_table_again()
     {
-        auto here =
-            changing(1, {{"HTTP/1.1 410 Gone\r\nContent-Length: 2\r\n\r\n{}"}});
+        auto here = with_failed_follows(
+            1, {{"HTTP/1.1 410 Gone\r\nContent-Length: 2\r\n\r\n{}"}});
         CPPUNIT_ASSERT(here.run_until_seen("second"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{2}, here.lists());
     }
 
-    // Guards against going on from a version after an outage of the store.
-    void an_outage_reads_the_table_anew()
+    // Guards against following changes from an old version after an outage of
+    // the store.
+    void an_outage_reads_the_table_again()
     {
-        auto here = changing(2, {{}, script::end::reset});
+        auto here = with_failed_follows(2, {{}, script::end::reset});
         CPPUNIT_ASSERT(here.run_until_seen("second"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{2}, here.lists());
     }
 
-    // Versions follow each other faster than a slow link carries them. Read one
-    // after the other, the newest would come later with each of them.
+    // Versions change faster than a slow link transmits them. Guards against
+    // reading them one after the other, so that the follower lags further
+    // behind with each.
     void a_follower_that_lags_behind_reads_the_newest_version()
     {
-        world here{
+        scenario here{
             [](fake_server::request const& got) -> script
             {
                 if (is_list(got))
@@ -256,8 +264,8 @@
                 }
                 std::string const one =
                     R"({"key":"old","part":"","data":"","schema-version":2})";
-                return {slowly(got, R"({"rows":[)" + one + "," + one +
-                                        R"(],"schema-version":3})")};
+                return {slow_response(got, R"({"rows":[)" + one + "," + one +
+                                               R"(],"schema-version":3})")};
             }};
         CPPUNIT_ASSERT(here.run_until_seen("old"));
         auto const before = here.lists();
@@ -266,22 +274,22 @@
         CPPUNIT_ASSERT_EQUAL(before + 1, here.lists());
     }
 
-    // On a full link each answer begins late. With one fixed limit the router
-    // would give up each call just before its answer comes.
-    void an_answer_that_begins_late_is_waited_for()
+    // On a full link each response begins late. Guards against one fixed
+    // timeout, which would abandon each call just before its response arrives.
+    void a_response_that_begins_late_is_waited_for()
     {
         constexpr std::size_t pauses = 550;
-        world here{[](fake_server::request const& got) -> script
-                   {
-                       if (is_list(got))
-                       {
-                           return {{whole_answer(got, 200, page("first", 1))}};
-                       }
-                       std::vector<std::string> pieces(pauses);
-                       pieces.push_back(
-                           whole_answer(got, 200, page("second", 2)));
-                       return {pieces};
-                   }};
+        scenario here{
+            [](fake_server::request const& got) -> script
+            {
+                if (is_list(got))
+                {
+                    return {{whole_answer(got, 200, page("first", 1))}};
+                }
+                std::vector<std::string> pieces(pauses);
+                pieces.push_back(whole_answer(got, 200, page("second", 2)));
+                return {pieces};
+            }};
         CPPUNIT_ASSERT(here.run_until_seen("second"));
     }
 };
