--- a/tests/budget/distribution_test.cpp
+++ b/tests/budget/distribution_test.cpp
@@ -158,7 +158,6 @@
         stock.routers[name(7)].requests = 100;
         apply_moves(stock, distribute(stock));
         // A few times what a hundred requests in ten seconds need.
-        // Some times what a hundred requests in ten seconds need.
         CPPUNIT_ASSERT(stock.routers[name(7)].free >= 300'000);
         CPPUNIT_ASSERT(stock.routers[name(7)].free <= 1'500'000);
     }
@@ -261,7 +260,6 @@
             };
             // While routers reach each other, a router with a shortage gets
             // tokens.
-            // While routers reach each other, who lacks tokens is given some.
             arrivals(before_partition,
                      [&](router_stock& one, token_count tokens)
                      {
--- a/tests/budget/holdings_test.cpp
+++ b/tests/budget/holdings_test.cpp
@@ -79,7 +79,6 @@
         CPPUNIT_ASSERT(need >= 80'000);
         CPPUNIT_ASSERT(need <= 100'000);
         // With requests of a hundredth of the size, the mean is nearly enough.
-        // Of the same tokens in requests of a hundredth the mean is nearly all.
         auto const small = need_ahead(5'000, duration{8'000}, 100);
         CPPUNIT_ASSERT(small < 45'000);
         CPPUNIT_ASSERT_EQUAL(token_count{10'000},
@@ -109,7 +108,6 @@
         holding const light{100'000, 10'000, 0, 10'000};
         auto const mine = deal_for(five_others(light), self, busy, row, 6, now);
         // 490,000 tokens are free; half of the need is here.
-        // 490,000 are free; half of the need is here.
         CPPUNIT_ASSERT(mine.target > 200'000);
         auto others = five_others(light);
         others[vm_id{"vm-2"}] = {busy, now};
@@ -168,7 +166,6 @@
         CPPUNIT_ASSERT(!must_return(others, self, 7'000, 3'000, 6, now));
         CPPUNIT_ASSERT(must_return(others, self, 9'000, 3'000, 6, now));
         // The holders before this one have less than is wanted.
-        // Those before this one have less than is wanted.
         CPPUNIT_ASSERT(must_return(others, self, 7'000, 50'000, 6, now));
 
         auto state = holding_state(row, 9'000);
--- a/tests/budget/share_end_test.cpp
+++ b/tests/budget/share_end_test.cpp
@@ -100,7 +100,6 @@
         CPPUNIT_ASSERT_EQUAL(token_count{-200}, moved(few));
         // With 81 routers, a part left at each would be too small for any
         // request.
-        // A part at each of 81 routers would be of no use to anybody.
         auto const many = with_row(row_of(1'000, 1'000, 81, 300), 400);
         CPPUNIT_ASSERT_EQUAL(token_count{-360}, moved(many));
     }
@@ -131,7 +130,6 @@
         CPPUNIT_ASSERT(next.reply);
         CPPUNIT_ASSERT(next.reply->verdict == reserve_verdict::exhausted);
         // A smaller request may still fit, and later ones read the row again.
-        // A smaller one may still fit, and later ones look again.
         request.request = {"r-3"};
         request.amount = 2'000;
         CPPUNIT_ASSERT(
@@ -140,7 +138,6 @@
         CPPUNIT_ASSERT(
             !reserve(ended.state, request, later + duration{450}).reply);
         // A second unmet wait is remembered as well.
-        // One that waited in vain too is remembered as well.
         request.amount = 2'000;
         waiting = reserve(ended.state, request, later);
         auto const last = later + duration{250};
--- a/tests/budget/spend_journal_test.cpp
+++ b/tests/budget/spend_journal_test.cpp
@@ -31,7 +31,6 @@
                                          spend_line line)
     {
         // The first row yields the store's time, the second contains the limit.
-        // The first row tells the store's time, the second bears the line.
         auto journal = sent({}, next_row({}, {}, now));
         journal = acknowledged(std::move(journal), 1, store_ms, now);
         auto const row = next_row(journal, {{taller, line}}, now);
@@ -111,7 +110,6 @@
         CPPUNIT_ASSERT_EQUAL(token_count{330},
                              spend_limit(journal, taller, {900, 0}, rising));
         // The limit counts from the store's time now: 1 s since the row.
-        // Counted from the store's own time now: 1 s since the row.
         journal = acknowledged(std::move(journal), 3, 7'900, rising);
         CPPUNIT_ASSERT_EQUAL(token_count{321},
                              spend_limit(journal, taller, {900, 0}, rising));
@@ -161,7 +159,6 @@
                              spend_limit(journal, taller, {900, 600}, start));
         // No row names this budget yet, so no successor takes these tokens
         // over.
-        // A budget that no row names yet: nobody takes these over.
         CPPUNIT_ASSERT_EQUAL(token_count{50},
                              spend_limit(journal, {"other"}, {0, 50}, start));
     }
@@ -200,7 +197,6 @@
             []
             {
                 // The store's clock runs with the router's, 70,000 ms behind.
-                // Store time runs with the router's clock, 70,000 ms behind.
                 constexpr std::int64_t offset = 70'000;
                 held_tokens held{1'000'000, 0};
                 spend_journal journal;
@@ -215,7 +211,6 @@
                     auto const pause = duration{*rc::gen::inRange(0, 2'500)};
                     store_now = store_now + pause;
                     // The clock of a suspended router stands still.
-                    // Suspended, the router's clock stands still.
                     now = now +
                           (*rc::gen::inRange(0, 5) == 0 ? duration{0} : pause);
                     auto const limit = spend_limit(journal, taller, held, now);
@@ -238,7 +233,6 @@
                     if (journal.version != version)
                     {
                         // An earlier try was applied, as the rejection shows.
-                        // An earlier try is in the store: the refusal says so.
                         journal =
                             found_own(std::move(journal), in_store, version);
                         continue;
--- a/tests/budget/story.hpp
+++ b/tests/budget/story.hpp
@@ -93,7 +93,6 @@
         rc::gen::set(&action::amount, inRange(1, static_cast<int>(max_tokens))),
         rc::gen::set(&action::fault, any_call_fault()));
     // Use the full ranges from the first scenario on.
-    // Full ranges from the first story on.
     return rc::gen::resize(
         rc::kNominalSize,
         rc::gen::container<std::vector<action>>(action_count, one));
--- a/tests/gateway/crash_keeper_test.cpp
+++ b/tests/gateway/crash_keeper_test.cpp
@@ -176,7 +176,6 @@
                        fleet::crash_verdict::quarantined);
         // The second call asks only for known changes and does not wait for new
         // ones.
-        // Asked for what is known already, not for what comes.
         CPPUNIT_ASSERT(site.waits[1] + site.limits[1] <= duration{1'000});
     }
 
--- a/tests/gateway/crash_test.cpp
+++ b/tests/gateway/crash_test.cpp
@@ -51,22 +51,22 @@
         {
         }
 
-        explicit scenario(fake_server::answerer const& answer = crash_if_fatal)
+        explicit scenario(fake_server::answerer const& respond = crash_if_fatal)
             : here{std::make_unique<fleet_site>()}
         {
-            this->add_servers(answer);
+            this->add_servers(respond);
         }
 
-        void add_servers(fake_server::answerer const& answer)
+        void add_servers(fake_server::answerer const& respond)
         {
             this->servers.clear();
             for (int i = 0; i < fleet_size; ++i)
             {
                 auto const number = std::to_string(this->added++);
                 this->servers.push_back(
-                    &this->here->add_server("app-" + number, "app", answer));
+                    &this->here->add_server("app-" + number, "app", respond));
                 this->servers.push_back(
-                    &this->here->add_server("llm-" + number, "llm", answer));
+                    &this->here->add_server("llm-" + number, "llm", respond));
             }
             CPPUNIT_ASSERT(this->here->run_until(
                 [&] { return this->here->readiness() == 200; }));
@@ -176,7 +176,6 @@
         next->add_server("llm-next", "llm", crash_if_fatal);
         // The router has its shares: only the evidence keeps it from being
         // ready.
-        // It has its shares: nothing else keeps it from being ready.
         CPPUNIT_ASSERT(next->run_until(
             [&]
             {
--- a/tests/gateway/fake_store.cpp
+++ b/tests/gateway/fake_store.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-error const no_response{error_kind::timeout, "call", "store", "no response"};
+error const no_response{error_kind::timeout, "call", "store", "no answer"};
 constexpr std::chrono::milliseconds call_timeout{50};
 
 } // namespace
--- a/tests/gateway/fleet_site.cpp
+++ b/tests/gateway/fleet_site.cpp
@@ -129,9 +129,9 @@
 
 fake_server& fleet_site::add_server(std::string const& id,
                                     std::string const& service,
-                                    fake_server::answerer answer)
+                                    fake_server::answerer respond)
 {
-    auto one = std::make_unique<fake_server>(this->loop, std::move(answer));
+    auto one = std::make_unique<fake_server>(this->loop, std::move(respond));
     this->store.put("servers", id,
                     R"({"backend":")" + service + R"(","address":")" +
                         one->address() +
--- a/tests/gateway/fleet_site.hpp
+++ b/tests/gateway/fleet_site.hpp
@@ -48,9 +48,9 @@
                         duration grace = duration{8'000});
     ~fleet_site();
 
-    /// Adds a server of `service` ("app" or "llm") that responds by `answer`.
+    /// Adds a server of `service` ("app" or "llm") that responds by `respond`.
     fake_server& add_server(std::string const& id, std::string const& service,
-                            fake_server::answerer answer);
+                            fake_server::answerer respond);
 
     void put_configuration(std::int64_t version, std::int64_t paid = 100'000);
 
--- a/tests/gateway/plain_caller.hpp
+++ b/tests/gateway/plain_caller.hpp
@@ -22,8 +22,8 @@
 {
 public:
     /// Connects to `port` with a kernel receive buffer of about
-    /// `receive_buffer` bytes; 0: the default of the system. @throws
-    /// boost::system::system_error if nothing listens at `port`.
+    /// `receive_buffer` bytes; 0: the default of the system.
+    /// @throws boost::system::system_error if nothing listens at `port`.
     explicit standalone_client(std::uint16_t port, int receive_buffer = 0);
 
     void send(std::string const& bytes);
--- a/tests/gateway/stream_test.cpp
+++ b/tests/gateway/stream_test.cpp
@@ -165,7 +165,6 @@
                            got.status == 429 || got.status == 503);
         }
         // Each request uses 10,000 tokens, and six for its three events of two.
-        // Each uses 10,000 and six for its three events of two.
         CPPUNIT_ASSERT_EQUAL(9, served);
     }
 
@@ -209,8 +208,6 @@
         site->add_server("i-1", "llm", three_events);
         // Runs one handler at a time, to see the row when it is renamed and
         // before the new router draws more.
-        // One event at a time, so that the row is seen as it is renamed and
-        // before the new router draws more.
         std::string renamed;
         while (renamed.empty())
         {
@@ -323,7 +320,6 @@
         site.add_server("i-1", "llm", three_events);
         wait_ready(site);
         // From now on the router holds a share that it has to return.
-        // From now on it holds a share that it has to give back.
         CPPUNIT_ASSERT_EQUAL(
             200, site.send(fleet_site::prompt("/chat/1", 500, 20)).status);
         site.store.reachable = false;
--- a/tests/gateway/table_follower_test.cpp
+++ b/tests/gateway/table_follower_test.cpp
@@ -58,8 +58,8 @@
     /// A store and a router's follower of one of its tables.
     struct scenario
     {
-        explicit scenario(fake_server::answerer answer)
-            : server{loop, std::move(answer)}
+        explicit scenario(fake_server::answerer respond)
+            : server{loop, std::move(respond)}
         {
             this->follower.start();
         }
