--- a/src/filters/account.cpp
+++ b/src/filters/account.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// What other servers log when the caller has gone; it is never sent.
+// Status that other servers log for a caller that disconnected; never sent.
 constexpr int http_caller_left = 499;
 
 std::optional<request::refusal> enter(context& request)
@@ -27,7 +27,8 @@
     {
         return request::outcome::completed;
     }
-    return request.refusal ? request.refusal->kind : request::outcome::unknown;
+    return request.rejection ? request.rejection->kind
+                             : request::outcome::unknown;
 }
 
 int status_of(context const& request)
@@ -36,7 +37,7 @@
     {
         return http_ok;
     }
-    return request.refusal ? request.refusal->status : http_caller_left;
+    return request.rejection ? request.rejection->status : http_caller_left;
 }
 
 void leave(context& request)
@@ -48,10 +49,10 @@
     std::string detail = "status=" + std::to_string(status) + " outcome=" +
                          std::string{request::to_string(outcome)} +
                          " cost=" + std::to_string(request.cost);
-    if (request.refusal)
+    if (request.rejection)
     {
-        metrics.refused(request.refusal->code);
-        detail += " code=" + request.refusal->code;
+        metrics.refused(request.rejection->code);
+        detail += " code=" + request.rejection->code;
     }
     auto const version = request.document ? request.document->version : 0;
     detail += " config_version=" + std::to_string(version);
--- a/src/filters/authenticate.cpp
+++ b/src/filters/authenticate.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-constexpr std::string_view scheme = "Bearer ";
+constexpr std::string_view bearer_prefix = "Bearer ";
 
 std::optional<request::refusal> enter(context& request)
 {
     request.document = request.shared.configuration();
     if (request.document == nullptr)
     {
-        // A keyed request may be the repeat of one that ran elsewhere.
+        // A request with a key may be a retry of one that ran elsewhere.
         auto const kind = request.in.idempotency_key.empty()
                               ? request::outcome::not_run
                               : request::outcome::unknown;
@@ -34,9 +34,9 @@
         request.received + request.document->routing.request_timeout;
     std::string_view given = request.in.authorization;
     std::optional<customer_id> found;
-    if (given.starts_with(scheme))
+    if (given.starts_with(bearer_prefix))
     {
-        given.remove_prefix(scheme.size());
+        given.remove_prefix(bearer_prefix.size());
         found = config::find_customer(*request.document, given);
     }
     if (!found)
--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -10,7 +10,7 @@
 
 chain::~chain()
 {
-    if (this->request.state == progress::open)
+    if (this->request.state == progress::in_progress)
     {
         this->request.state = progress::abandoned;
     }
@@ -19,13 +19,13 @@
 
 bool chain::enter()
 {
-    for (auto const& next : this->filters)
+    for (auto const& stage : this->filters)
     {
-        auto refused = next.enter(this->request);
-        if (refused)
+        auto rejection = stage.enter(this->request);
+        if (rejection)
         {
-            this->request.state = progress::refused;
-            this->request.refusal = std::move(refused);
+            this->request.state = progress::rejected;
+            this->request.rejection = std::move(rejection);
             return false;
         }
         ++this->entered;
--- a/src/filters/chain.hpp
+++ b/src/filters/chain.hpp
@@ -10,9 +10,9 @@
 namespace caperpath::filters
 {
 
-/// One step of a request. `enter` lets it pass or refuses it; `leave` runs once
-/// for each request that passed `enter`, in reverse order, when the request has
-/// ended and before its last byte goes to the caller.
+/// One pipeline stage of a request. `enter` passes or rejects it. `leave` runs
+/// once for each request that passed `enter`, in reverse order of the filters,
+/// after the request has ended and before its last byte is sent to the caller.
 struct filter
 {
     char const* name;
@@ -20,9 +20,9 @@
     void (*leave)(context& request);
 };
 
-/// The way of one request through a list of filters. Not thread safe; makes
-/// sure that every filter that was entered is left exactly once, also when the
-/// caller's connection breaks and nobody asks for the end.
+/// Runs one request through a list of filters. Leaves every entered filter
+/// exactly once, also if the caller's connection breaks and `leave` is never
+/// called. Not thread safe.
 class chain
 {
 public:
@@ -33,11 +33,11 @@
     chain(chain const&) = delete;
     chain& operator=(chain const&) = delete;
 
-    /// Enters filter after filter until one refuses; the refusal is kept in the
-    /// context. True when all let it pass.
+    /// Enters the filters in order until one rejects the request, and stores
+    /// the rejection in the context. Returns true if all filters passed it.
     bool enter();
 
-    /// Leaves all filters that were entered. Idempotent.
+    /// Leaves all entered filters. Idempotent.
     void leave();
 
 private:
@@ -46,8 +46,9 @@
     std::size_t entered{0};
 };
 
-/// account, authenticate, understand, identify, limit, reserve, keep, dispatch:
-/// for models and for plain services. Thread safe.
+/// The filters of chat and plain service requests, in order: account, drain,
+/// authenticate, understand, identify, limit, reserve, keep, dispatch. Thread
+/// safe.
 std::vector<filter> const& request_filters();
 
 } // namespace caperpath::filters
--- a/src/filters/context.cpp
+++ b/src/filters/context.cpp
@@ -13,13 +13,13 @@
 namespace
 {
 
-// A stop may begin, and become due, while a request waits.
-constexpr duration stop_check{100};
-constexpr duration return_elsewhere{1'000};
+// A waiting request checks at this interval whether a stop has become due.
+constexpr duration shutdown_check_interval{100};
+constexpr duration retry_elsewhere_after{1'000};
 
 } // namespace
 
-context::context(services const& shared, incoming given)
+context::context(request_dependencies const& shared, incoming given)
     : shared{shared}, in{std::move(given)}, received{shared.time.now()}
 {
 }
@@ -28,7 +28,7 @@
 
 bool context::idempotent() const
 {
-    auto const* call = std::get_if<service_request>(&this->work);
+    auto const* call = std::get_if<service_request>(&this->parsed_request);
     return call == nullptr || call->call.idempotent;
 }
 
@@ -40,7 +40,8 @@
     {
         return 0;
     }
-    auto const* const chat = std::get_if<request::chat_request>(&this->work);
+    auto const* const chat =
+        std::get_if<request::chat_request>(&this->parsed_request);
     if (chat == nullptr)
     {
         bool const ran = this->state == progress::completed;
@@ -48,8 +49,8 @@
     }
     auto const whole = request::cost(this->document->models.at(chat->model),
                                      this->used, this->worst_case);
-    // A repeat of a chat whose caller left runs it again from the start; only
-    // what has not been billed yet is added.
+    // A retry of a chat whose caller disconnected runs from the start; only
+    // tokens that earlier runs did not bill are charged.
     return std::max<token_count>(0, whole - this->billed_before);
 }
 
@@ -62,23 +63,23 @@
             this->used.prompt_tokens,
             this->used.completion_tokens,
             this->document->version,
-            this->keeps_answer};
+            this->stores_response};
 }
 
-bool stop_is_due(context const& request)
+bool shutdown_due(context const& request)
 {
     auto const* const stop_at = request.shared.stop_at;
     return stop_at != nullptr &&
            request.shared.time.now().ms >= stop_at->load();
 }
 
-request::refusal stop_refusal(bool may_have_run)
+request::refusal shutdown_rejection(bool may_have_run)
 {
     auto const kind =
         may_have_run ? request::outcome::unknown : request::outcome::not_run;
     return {may_have_run ? http_gateway_timeout : http_unavailable,
             kind,
-            may_have_run ? duration{} : return_elsewhere,
+            may_have_run ? duration{} : retry_elsewhere_after,
             "server_error",
             "router_stops",
             "",
@@ -89,12 +90,13 @@
 wait_for_event(context const& request, http::exchange& open, duration bound)
 {
     auto const until = request.shared.time.now() + bound;
-    while (!stop_is_due(request))
+    while (!shutdown_due(request))
     {
-        auto const left = until - request.shared.time.now();
-        auto const span = std::clamp(left, duration{}, stop_check);
+        auto const remaining = until - request.shared.time.now();
+        auto const span =
+            std::clamp(remaining, duration{}, shutdown_check_interval);
         auto event = open.wait(span);
-        if (event || left <= stop_check)
+        if (event || remaining <= shutdown_check_interval)
         {
             return event;
         }
--- a/src/filters/context.hpp
+++ b/src/filters/context.hpp
@@ -31,9 +31,9 @@
 namespace caperpath::filters
 {
 
-/// What the filters reach the rest of the process through. One a router; every
-/// member may be used from any thread and outlives all requests.
-struct services
+/// Interfaces through which the filters use the rest of the process. One per
+/// router; every member is thread safe and outlives all requests.
+struct request_dependencies
 {
     std::string vm;
     std::string incarnation;
@@ -49,13 +49,13 @@
     observe::metrics* metrics{};
     observe::span_sink spans;
     observe::id_generator* ids{};
-    duration reserve_wait{2'000}; ///< longest wait for a draw of tokens
-    duration claim_wait{2'000};   ///< longest wait for a claim elsewhere
-    /// Monotonic milliseconds after which open work is given up, in a stop.
+    duration reserve_wait{2'000}; ///< maximum wait for a draw of tokens
+    duration claim_wait{2'000};   ///< maximum wait for a claim held elsewhere
+    /// Monotonic time in ms after which a planned stop aborts open requests.
     std::atomic<std::int64_t>* stop_at{};
 };
 
-/// A call of a plain service, taken apart and checked. Immutable value.
+/// A parsed and validated call of a plain service. Immutable value.
 struct service_request
 {
     service_id service;
@@ -66,7 +66,7 @@
                            service_request const&) = default;
 };
 
-/// A request as it came in. Immutable value.
+/// A request as received. Immutable value.
 struct incoming
 {
     std::string method;
@@ -80,22 +80,22 @@
 
 enum class progress
 {
-    open,      ///< not ended yet
-    completed, ///< the whole answer is there
-    refused,   ///< ended by `refusal`
-    abandoned  ///< the caller left
+    in_progress, ///< has not ended
+    completed,   ///< the response is complete
+    rejected,    ///< ended with `rejection`
+    abandoned    ///< the caller disconnected
 };
 
-/// One request on its way through the chain. Used by one thread at a time.
+/// State of one request in the filter chain. Used by one thread at a time.
 struct context
 {
-    context(services const& shared, incoming given);
+    context(request_dependencies const& shared, incoming given);
     ~context();
 
     context(context const&) = delete;
     context& operator=(context const&) = delete;
 
-    services const& shared;
+    request_dependencies const& shared;
     incoming in;
     instant received;
     instant deadline;
@@ -105,48 +105,51 @@
     customer_id customer;
     config::customer const* customer_settings{};
     request_id id;
-    std::variant<std::monostate, request::chat_request, service_request> work;
+    std::variant<std::monostate, request::chat_request, service_request>
+        parsed_request;
     token_count worst_case{};
-    std::optional<std::uint64_t> claim_epoch; ///< until the claim is ended
-    token_count billed_before{}; ///< for this request, by earlier runs
-    bool keeps_answer{false};    ///< whoever asks again gets it
-    std::optional<request::kept_answer> answer; ///< of a service, or replayed
+    std::optional<std::uint64_t>
+        claim_epoch;             ///< set until the claim is finished
+    token_count billed_before{}; ///< by earlier runs of this request
+    bool stores_response{false}; ///< a retry gets the stored one
+    std::optional<request::kept_answer> response; ///< of a service, or replayed
     bool replayed{false};
     std::unique_ptr<router::chat_relay> relay;
-    std::string chat_text; ///< a whole chat answer as it grows
+    std::string chat_text; ///< chat response text received so far
 
-    progress state{progress::open};
-    std::optional<request::refusal> refusal;
+    progress state{progress::in_progress};
+    std::optional<request::refusal> rejection;
     request::usage used;
     token_count cost{};
     bool first_token_seen{false};
 
-    /// True for work that may be sent to a backend server twice.
+    /// True if the request may be sent to a backend server twice.
     bool idempotent() const;
 
-    /// Budget tokens that this run costs, as far as it has come. An answer that
-    /// was not completed costs nothing, unless the caller left: what was
-    /// generated for it until then has been used.
+    /// Budget tokens that this run has cost so far. An incomplete response
+    /// costs nothing, unless the caller disconnected: then the tokens generated
+    /// until that time are charged.
     token_count cost_so_far() const;
 
-    /// The bill over `cost_so_far`.
+    /// The bill for `cost_so_far`.
     budget::bill bill() const;
 };
 
-/// True once a planned stop gives up open work. Thread safe.
-bool stop_is_due(context const& request);
+/// True once a planned stop aborts open requests. Thread safe.
+bool shutdown_due(context const& request);
 
-/// How a request ends that a planned stop gives up. Thread safe.
-request::refusal stop_refusal(bool may_have_run);
+/// The rejection of a request that a planned stop aborts. Thread safe.
+request::refusal shutdown_rejection(bool may_have_run);
 
-/// The next event within `bound`; nothing earlier only when the stop is due.
+/// Returns the next event, or empty after `bound`, or earlier if a planned stop
+/// is due.
 std::optional<http::exchange_event>
 wait_for_event(context const& request, http::exchange& open, duration bound);
 
 /// Opens a child span of the request's span; finish it with `finish_span`.
 observe::span_builder child_span(context const& request, std::string name);
 
-/// Records a finished span with the request's id.
+/// Finishes `span` and records it with the request's id.
 void finish_span(context const& request, observe::span_builder span);
 
 } // namespace caperpath::filters
--- a/src/filters/dispatch.cpp
+++ b/src/filters/dispatch.cpp
@@ -14,11 +14,11 @@
 std::optional<request::refusal> call_plain_service(context& request)
 {
     auto outcome = router::call_service(request);
-    if (auto* const refused = std::get_if<request::refusal>(&outcome))
+    if (auto* const rejection = std::get_if<request::refusal>(&outcome))
     {
-        return std::move(*refused);
+        return std::move(*rejection);
     }
-    request.answer = std::move(std::get<request::kept_answer>(outcome));
+    request.response = std::move(std::get<request::kept_answer>(outcome));
     request.state = progress::completed;
     return std::nullopt;
 }
@@ -30,7 +30,7 @@
         request.state = progress::completed;
         return std::nullopt;
     }
-    if (std::holds_alternative<service_request>(request.work))
+    if (std::holds_alternative<service_request>(request.parsed_request))
     {
         return call_plain_service(request);
     }
@@ -58,9 +58,9 @@
 std::vector<filter> const& request_filters()
 {
     static std::vector<filter> const filters{
-        account_filter(),    drain_filter(),    authenticate_filter(),
-        understand_filter(), identify_filter(), limit_filter(),
-        reserve_filter(),    keep_filter(),     dispatch_filter()};
+        account_filter(), drain_filter(),          authenticate_filter(),
+        parse_filter(),   identify_filter(),       limit_filter(),
+        reserve_filter(), store_response_filter(), dispatch_filter()};
     return filters;
 }
 
--- a/src/filters/drain.cpp
+++ b/src/filters/drain.cpp
@@ -6,20 +6,20 @@
 namespace
 {
 
-// Later filters may wait for the store, and nothing would come of it.
+// Later filters may wait for the store although the request cannot complete.
 std::optional<request::refusal> enter(context& request)
 {
-    if (!stop_is_due(request))
+    if (!shutdown_due(request))
     {
         return std::nullopt;
     }
-    auto refused = stop_refusal(false);
+    auto rejection = shutdown_rejection(false);
     if (!request.in.idempotency_key.empty())
     {
-        // An earlier try may have run elsewhere.
-        refused.kind = request::outcome::unknown;
+        // An earlier attempt may have run elsewhere.
+        rejection.kind = request::outcome::unknown;
     }
-    return refused;
+    return rejection;
 }
 
 void leave(context&)
--- a/src/filters/identify.cpp
+++ b/src/filters/identify.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr std::size_t longest_key = 256;
+constexpr std::size_t max_key_length = 256;
 constexpr std::size_t id_length = 32;
 
 std::string sha256_hex(std::string const& text)
@@ -26,8 +26,8 @@
     return config::to_hex({reinterpret_cast<char const*>(digest.data()), size});
 }
 
-// Two customers may use the same key; each part's length keeps ("a","bc") and
-// ("ab","c") apart.
+// Two customers may use the same key. The length prefix distinguishes
+// ("a","bc") from ("ab","c").
 request_id keyed_id(customer_id const& customer, std::string const& key)
 {
     auto const text =
@@ -35,17 +35,17 @@
     return {"k-" + sha256_hex(text).substr(0, id_length)};
 }
 
-bool usable_key(std::string const& key)
+bool is_valid_key(std::string const& key)
 {
     auto const printable = [](unsigned char c)
     {
         return c > 0x20 && c < 0x7f;
     };
-    return key.size() <= longest_key &&
+    return key.size() <= max_key_length &&
            std::all_of(key.begin(), key.end(), printable);
 }
 
-request::refusal claim_refusal(request::claim_reply const& reply)
+request::refusal claim_rejection(request::claim_reply const& reply)
 {
     using request::claim_verdict;
     using request::outcome;
@@ -78,7 +78,7 @@
     default:
         break;
     }
-    // This may be the repeat of a request that ran: "not-run" would be a guess.
+    // This may be a retry of a request that ran, so "not-run" is not certain.
     return {http_unavailable,
             outcome::unknown,
             reply.retry_after,
@@ -88,7 +88,7 @@
             "the store cannot say whether this request ran before"};
 }
 
-std::optional<request::refusal> take_claim(context& request)
+std::optional<request::refusal> acquire_claim(context& request)
 {
     auto const& in = request.in;
     auto const reply = request.shared.claims.begin(
@@ -96,17 +96,17 @@
          request.idempotent(), request.shared.claim_wait});
     if (reply.verdict == request::claim_verdict::replay)
     {
-        request.answer = reply.answer;
+        request.response = reply.answer;
         request.replayed = true;
         return std::nullopt;
     }
     if (reply.verdict != request::claim_verdict::run)
     {
-        return claim_refusal(reply);
+        return claim_rejection(reply);
     }
     request.claim_epoch = reply.epoch;
     request.billed_before = reply.billed;
-    request.keeps_answer = true;
+    request.stores_response = true;
     return std::nullopt;
 }
 
@@ -118,7 +118,7 @@
         request.id = {observe::to_string(request.shared.ids->next_trace_id())};
         return std::nullopt;
     }
-    if (!usable_key(key))
+    if (!is_valid_key(key))
     {
         return request::invalid_request(
             "Idempotency-Key", "expected at most 256 printable characters");
@@ -129,15 +129,15 @@
         return std::nullopt;
     }
     auto span = child_span(request, "claim");
-    auto refused = take_claim(request);
+    auto rejection = acquire_claim(request);
     finish_span(request, std::move(span));
-    return refused;
+    return rejection;
 }
 
-// Reached with the claim still open when a later filter refused the request.
+// The claim is still open here if a later filter rejected the request.
 void leave(context& request)
 {
-    end_claim(request);
+    finish_request_claim(request);
 }
 
 } // namespace
--- a/src/filters/keep.cpp
+++ b/src/filters/keep.cpp
@@ -15,15 +15,15 @@
     {
         return request::claim_result::completed;
     }
-    bool const not_run =
-        request.refusal && request.refusal->kind == request::outcome::not_run;
+    bool const not_run = request.rejection &&
+                         request.rejection->kind == request::outcome::not_run;
     return not_run ? request::claim_result::not_run
                    : request::claim_result::unknown;
 }
 
-// Another router runs this request since this one was taken for dead. The
-// answers may differ, and only that one is kept and billed.
-request::refusal superseded_refusal()
+// Another router considered this one dead and now runs the request. The two
+// responses may differ, and only the other one is stored and billed.
+request::refusal superseded_rejection()
 {
     return {http_bad_gateway,
             request::outcome::unknown,
@@ -41,42 +41,42 @@
 
 } // namespace
 
-void end_claim(context& request)
+void finish_request_claim(context& request)
 {
     if (!request.claim_epoch)
     {
         return;
     }
     auto span = child_span(request, "keep");
-    auto const end = request.shared.claims.finish(
+    auto const finished = request.shared.claims.finish(
         {request.id, *request.claim_epoch, result_of(request),
          request.idempotent(), request.cost_so_far(),
-         request.answer.value_or(request::kept_answer{}), request.bill()});
+         request.response.value_or(request::kept_answer{}), request.bill()});
     request.claim_epoch.reset();
-    // A call that is not idempotent is never run by a second runner: its answer
-    // is the only one there is, and withholding it would lose it.
+    // A call that is not idempotent is never run by a second router, so its
+    // response is the only one and withholding it would lose it.
     bool const superseded =
-        end == request::claim_end::superseded && request.idempotent();
+        finished == request::claim_end::superseded && request.idempotent();
     if (superseded)
     {
-        request.state = progress::refused;
-        request.refusal = superseded_refusal();
+        request.state = progress::rejected;
+        request.rejection = superseded_rejection();
     }
-    if (end != request::claim_end::kept)
+    if (finished != request::claim_end::kept)
     {
         observe::log_warning({"keep", request.id.value, {}},
-                             end == request::claim_end::pending
-                                 ? "the answer is not kept yet"
-                                 : "a later runner holds the claim");
+                             finished == request::claim_end::pending
+                                 ? "the response is not stored yet"
+                                 : "another router has taken over the claim");
     }
     finish_span(request, std::move(span));
 }
 
-filter keep_filter()
+filter store_response_filter()
 {
-    // After `reserve` in the list, so that it is left before it: a run that has
-    // lost its claim must not be billed, for the winner is.
-    return {"keep", enter, end_claim};
+    // Listed after `reserve` and therefore left before it: a run that has lost
+    // its claim must not be billed, because the run that took it over is.
+    return {"keep", enter, finish_request_claim};
 }
 
 } // namespace caperpath::filters
--- a/src/filters/reserve.cpp
+++ b/src/filters/reserve.cpp
@@ -16,7 +16,7 @@
         .policy;
 }
 
-request::refusal refusal_of(budget::reserve_reply const& reply)
+request::refusal rejection_of(budget::reserve_reply const& reply)
 {
     if (reply.verdict == budget::reserve_verdict::exhausted)
     {
@@ -44,30 +44,30 @@
         return std::nullopt;
     }
     auto span = child_span(request, "reserve");
-    auto const asked = request.shared.time.now();
+    auto const wait_start = request.shared.time.now();
     auto const reply = request.shared.budgets.reserve(
         {request.id, request.customer_settings->budget, policy_of(request),
          request.worst_case, request.shared.reserve_wait});
-    auto const waited = request.shared.time.now() - asked;
+    auto const waited = request.shared.time.now() - wait_start;
     request.shared.metrics->reserve_wait(waited.ms * us_per_ms);
     finish_span(request, std::move(span));
     if (reply.verdict == budget::reserve_verdict::admitted)
     {
         return std::nullopt;
     }
-    return refusal_of(reply);
+    return rejection_of(reply);
 }
 
-// The bill of a budget that must never be overspent is only in this router's
-// memory, because the store takes no write. If the router died now, its share
-// would be given out again although the answer had been used: the ledger would
-// balance and the customer would have had more than was paid for. So the answer
-// is not given as complete; with an idempotency key it is kept, and a repeat
-// gets it once the bill is written.
-void withhold(context& request)
+// The bill is only in this router's memory because the store accepts no writes,
+// and its budget must never be overspent. If the router died now, its share
+// would be allocated again although the caller used the response: the ledger
+// would balance, but the customer would get more than was paid for.
+// So the response is not marked complete. With an idempotency key it is stored,
+// and a retry gets it once the bill is written.
+void withhold_response(context& request)
 {
-    request.state = progress::refused;
-    request.refusal = request::refusal{
+    request.state = progress::rejected;
+    request.rejection = request::refusal{
         http_bad_gateway,
         request::outcome::unknown,
         {5'000},
@@ -94,7 +94,7 @@
         policy_of(request) == config::budget_policy::overspend_first;
     if (at_risk && request.cost > 0 && request.state == progress::completed)
     {
-        withhold(request);
+        withhold_response(request);
     }
 }
 
--- a/src/filters/steps.hpp
+++ b/src/filters/steps.hpp
@@ -6,39 +6,40 @@
 namespace caperpath::filters
 {
 
-/// Opens the request's span; at the end counts it and writes its log line.
+/// Opens the request's span; on leave counts the request and logs it.
 filter account_filter();
 
-/// Refuses what is read when a planned stop gives up open work already.
+/// Rejects requests that are read after a planned stop has begun to abort open
+/// requests.
 filter drain_filter();
 
-/// Finds the customer by the bearer key, and the configuration version that
-/// this request keeps to its end.
+/// Finds the customer by the bearer key and pins the configuration version for
+/// the lifetime of the request.
 filter authenticate_filter();
 
-/// Takes the body apart and checks it, finds the model or service call.
-filter understand_filter();
+/// Parses and validates the body; finds the model or service call.
+filter parse_filter();
 
-/// Gives the request its id. With an idempotency key it takes the claim, so
-/// that a repeat through another router finds this one.
+/// Assigns the request id. With an idempotency key it also takes the claim, so
+/// that a retry through another router finds this request.
 filter identify_filter();
 
-/// Holds the customer's limits.
+/// Enforces the customer's limits.
 filter limit_filter();
 
-/// Sets the worst case aside; at the end bills what was used.
+/// Reserves the worst-case cost; on leave bills the actual cost.
 filter reserve_filter();
 
-/// Ends the claim when the request has ended, before it is billed: keeps its
-/// answer for whoever asks again.
-filter keep_filter();
+/// Finishes the claim after the request has ended and before it is billed, and
+/// stores the response for retries.
+filter store_response_filter();
 
-/// What `keep` does when it is left. Idempotent; `identify` does it for a
-/// request that a later filter refused.
-void end_claim(context& request);
+/// Finishes the claim of the request. Called when `keep` is left, and by
+/// `identify` for a request that a later filter rejected. Idempotent.
+void finish_request_claim(context& request);
 
-/// Sends the request to a backend server and waits for the first token or, for
-/// a plain service, the whole answer.
+/// Prepares the relay of a chat request, or calls a plain service and waits for
+/// its complete response.
 filter dispatch_filter();
 
 } // namespace caperpath::filters
--- a/src/filters/understand.cpp
+++ b/src/filters/understand.cpp
@@ -24,11 +24,11 @@
 bool matches(config::service_call const& call, std::string const& method,
              std::string_view path)
 {
-    bool const method_fits = call.method == "*" || call.method == method;
-    return method_fits && path.starts_with(call.path_prefix);
+    bool const method_matches = call.method == "*" || call.method == method;
+    return method_matches && path.starts_with(call.path_prefix);
 }
 
-std::optional<request::refusal> understand_service(context& request)
+std::optional<request::refusal> parse_service_request(context& request)
 {
     std::string_view rest = request.in.path;
     rest.remove_prefix(services_prefix.size());
@@ -50,14 +50,14 @@
         if (matches(call, request.in.method, path))
         {
             request.worst_case = call.price;
-            request.work = service_request{id, std::move(path), call};
+            request.parsed_request = service_request{id, std::move(path), call};
             return std::nullopt;
         }
     }
     return unknown_service("path", "the service has no such call");
 }
 
-std::optional<request::refusal> understand_chat(context& request)
+std::optional<request::refusal> parse_chat(context& request)
 {
     auto parsed =
         request::parse_chat_request(request.in.body, *request.document);
@@ -69,14 +69,14 @@
     request.worst_case =
         request::worst_case(request.document->models.at(chat.model),
                             chat.prompt_bytes, chat.max_tokens);
-    request.work = std::move(chat);
+    request.parsed_request = std::move(chat);
     return std::nullopt;
 }
 
 std::optional<request::refusal> enter(context& request)
 {
     bool const service = request.in.path.starts_with(services_prefix);
-    return service ? understand_service(request) : understand_chat(request);
+    return service ? parse_service_request(request) : parse_chat(request);
 }
 
 void leave(context&)
@@ -85,7 +85,7 @@
 
 } // namespace
 
-filter understand_filter()
+filter parse_filter()
 {
     return {"understand", enter, leave};
 }
--- a/src/request/answer.cpp
+++ b/src/request/answer.cpp
@@ -12,32 +12,33 @@
 
 using nlohmann::json;
 
-std::int64_t whole(json const& object, char const* name, std::int64_t fallback)
+std::int64_t integer_member(json const& object, char const* name,
+                            std::int64_t fallback)
 {
     auto const member = object.find(name);
-    bool const usable = member != object.end() && member->is_number_integer();
-    return usable ? member->get<std::int64_t>() : fallback;
+    bool const valid = member != object.end() && member->is_number_integer();
+    return valid ? member->get<std::int64_t>() : fallback;
 }
 
-std::string text(json const& object, char const* name)
+std::string string_member(json const& object, char const* name)
 {
     auto const member = object.find(name);
-    bool const usable = member != object.end() && member->is_string();
-    return usable ? member->get<std::string>() : std::string{};
+    bool const valid = member != object.end() && member->is_string();
+    return valid ? member->get<std::string>() : std::string{};
 }
 
-json const& child(json const& object, char const* name)
+json const& object_member(json const& object, char const* name)
 {
-    static json const none = json::object();
+    static json const empty = json::object();
     auto const member = object.find(name);
-    bool const usable = member != object.end() && member->is_object();
-    return usable ? *member : none;
+    bool const valid = member != object.end() && member->is_object();
+    return valid ? *member : empty;
 }
 
 engine_event decode_choice(engine_event event, json const& choice)
 {
-    event.finish_reason = text(choice, "finish_reason");
-    event.text = text(child(choice, "delta"), "content");
+    event.finish_reason = string_member(choice, "finish_reason");
+    event.text = string_member(object_member(choice, "delta"), "content");
     event.what = event.finish_reason.empty() ? engine_event::kind::token
                                              : engine_event::kind::finish;
     return event;
@@ -50,14 +51,14 @@
 
 accepted accept_token(answer_state state, engine_event const& event)
 {
-    // An engine that repeats, skips or mixes chunks would give the caller a
-    // doubled, holed or foreign answer; the offset shows it.
+    // If an engine repeats, skips or mixes up chunks, the caller would get
+    // duplicate, missing or another request's tokens. The offset detects it.
     if (event.offset != state.next_offset || !state.finish_reason.empty())
     {
         return broken(std::move(state));
     }
-    // The reservation covers `max_tokens`: a longer answer would be spent
-    // beyond what was set aside, so it ends here as if it had been that long.
+    // The reservation covers `max_tokens`. A longer response would cost more
+    // than was reserved, so it is truncated here.
     if (state.next_offset >= state.max_tokens)
     {
         state.finish_reason = "length";
@@ -83,16 +84,16 @@
     {
         return event;
     }
-    auto const& exchange = child(body, "caperpath");
-    event.request = text(exchange, "request");
-    event.attempt = static_cast<int>(whole(exchange, "attempt", 0));
-    event.offset = whole(exchange, "offset", -1);
-    auto const& counted = child(body, "usage");
-    if (!counted.empty())
+    auto const& exchange = object_member(body, "caperpath");
+    event.request = string_member(exchange, "request");
+    event.attempt = static_cast<int>(integer_member(exchange, "attempt", 0));
+    event.offset = integer_member(exchange, "offset", -1);
+    auto const& usage = object_member(body, "usage");
+    if (!usage.empty())
     {
         event.what = engine_event::kind::counted;
-        event.used = {whole(counted, "prompt_tokens", 0),
-                      whole(counted, "completion_tokens", 0)};
+        event.used = {integer_member(usage, "prompt_tokens", 0),
+                      integer_member(usage, "completion_tokens", 0)};
         return event;
     }
     auto const choices = body.find("choices");
@@ -112,8 +113,8 @@
     }
     if (event.what == engine_event::kind::done)
     {
-        // A stream that says it is done without having said why it ended has
-        // lost its tail; the caller would take a holed answer for a whole one.
+        // A stream that ends without a finish reason has lost its last chunks;
+        // the caller would take an incomplete response for a complete one.
         if (state.finish_reason.empty())
         {
             return broken(state);
--- a/src/request/chat_request.cpp
+++ b/src/request/chat_request.cpp
@@ -15,28 +15,28 @@
 
 using nlohmann::json;
 
-// A message costs a few tokens for its role and separators beyond its text.
+// Allowance for the tokens of a message's role and separators.
 constexpr std::int64_t bytes_per_message_overhead = 16;
 
-// Deeper nesting than any client sends; the parser recurses once a level, so a
-// body of 4 MB of '[' would otherwise overflow the stack of its thread and take
-// every open stream of the process with it.
+// Deeper than any client nests. The parser recurses once per level, so a body
+// of 4 MB of '[' would otherwise overflow the thread's stack and crash the
+// process with all its open streams.
 constexpr int max_json_depth = 64;
 
-bool too_deep(std::string_view body)
+bool exceeds_max_depth(std::string_view body)
 {
     int depth = 0;
-    bool in_text = false;
+    bool in_string = false;
     bool escaped = false;
     for (char const c : body)
     {
-        if (in_text)
+        if (in_string)
         {
-            in_text = escaped || c != '"';
+            in_string = escaped || c != '"';
             escaped = !escaped && c == '\\';
             continue;
         }
-        in_text = c == '"';
+        in_string = c == '"';
         depth += (c == '[' || c == '{') ? 1 : 0;
         depth -= (c == ']' || c == '}') ? 1 : 0;
         if (depth > max_json_depth)
@@ -47,7 +47,8 @@
     return false;
 }
 
-// Text of a message: a string, or an array of {"type":"text","text":...}.
+// Returns the size of a message's text, which is a string or an array of
+// {"type":"text","text":...}; empty for anything else.
 std::optional<std::int64_t> content_bytes(json const& content)
 {
     if (content.is_string())
@@ -86,18 +87,18 @@
     for (std::size_t i = 0; i < messages->size(); ++i)
     {
         auto const& message = (*messages)[i];
-        auto const place = "messages[" + std::to_string(i) + "]";
+        auto const path = "messages[" + std::to_string(i) + "]";
         if (!message.is_object() || !message.contains("role") ||
             !message["role"].is_string())
         {
-            return invalid_request(place + ".role", "expected text");
+            return invalid_request(path + ".role", "expected text");
         }
         auto const bytes = message.contains("content")
                                ? content_bytes(message["content"])
                                : std::nullopt;
         if (!bytes)
         {
-            return invalid_request(place + ".content",
+            return invalid_request(path + ".content",
                                    "expected text or a list of text parts");
         }
         total += *bytes + bytes_per_message_overhead;
@@ -115,9 +116,9 @@
         {
             continue;
         }
-        bool const fits = member->is_number_integer() && *member >= 1 &&
-                          *member <= model.max_completion_tokens;
-        if (!fits)
+        bool const in_range = member->is_number_integer() && *member >= 1 &&
+                              *member <= model.max_completion_tokens;
+        if (!in_range)
         {
             return invalid_request(
                 name, "expected a whole number of tokens from 1 to " +
@@ -156,8 +157,8 @@
     return flag(*options, "include_usage");
 }
 
-// The engine is always asked to stream, also for a whole answer: a silent
-// connection is noticed by the gap between tokens, which a whole answer hides.
+// Requests a stream from the engine also if the caller did not: the gap between
+// tokens reveals a silent connection, which an unstreamed response would hide.
 std::string upstream_body(json body, std::int64_t max_tokens)
 {
     body["stream"] = true;
@@ -169,7 +170,7 @@
 
 std::variant<json, refusal> parse_body(std::string_view text)
 {
-    if (too_deep(text))
+    if (exceeds_max_depth(text))
     {
         return invalid_request("body", "nested deeper than 64 levels");
     }
@@ -194,9 +195,9 @@
 parse_chat_request(std::string_view text, config::document const& document)
 {
     auto const parsed = parse_body(text);
-    if (auto const* fault = std::get_if<refusal>(&parsed))
+    if (auto const* rejection = std::get_if<refusal>(&parsed))
     {
-        return *fault;
+        return *rejection;
     }
     auto const& body = std::get<json>(parsed);
     auto const name = body.find("model");
@@ -208,34 +209,34 @@
     auto const model = document.models.find(id);
     if (model == document.models.end())
     {
-        refusal fault = invalid_request("model", "no model has this name");
-        fault.status = http_not_found;
-        fault.code = "model_not_found";
-        return fault;
+        refusal rejection = invalid_request("model", "no model has this name");
+        rejection.status = http_not_found;
+        rejection.code = "model_not_found";
+        return rejection;
     }
     auto const bytes = prompt_bytes(body);
     auto const limit = max_tokens(body, model->second);
     auto const stream = flag(body, "stream");
     auto const usage = include_usage(body);
     auto const count = body.contains("n") ? body["n"] : json(1);
-    for (auto const* fault :
+    for (auto const* rejection :
          {std::get_if<refusal>(&bytes), std::get_if<refusal>(&limit),
           std::get_if<refusal>(&stream), std::get_if<refusal>(&usage)})
     {
-        if (fault != nullptr)
+        if (rejection != nullptr)
         {
-            return *fault;
+            return *rejection;
         }
     }
     if (count != 1 && !count.is_null())
     {
         return invalid_request("n", "only one choice is served");
     }
-    // One token takes at most about four bytes of ordinary text; a prompt is
-    // refused only when even the most favourable count is over the limit.
-    constexpr std::int64_t most_bytes_per_token = 4;
+    // A token of ordinary text has at most about four bytes. A prompt is
+    // rejected only if even this lowest estimate exceeds the limit.
+    constexpr std::int64_t max_bytes_per_token = 4;
     auto const prompt = std::get<std::int64_t>(bytes);
-    if (prompt > model->second.max_prompt_tokens * most_bytes_per_token)
+    if (prompt > model->second.max_prompt_tokens * max_bytes_per_token)
     {
         return invalid_request("messages", "the prompt is too long");
     }
--- a/src/request/claim_end.cpp
+++ b/src/request/claim_end.cpp
@@ -15,20 +15,20 @@
 
 using store::commit_outcome;
 
-// Named after the ticket, so that no other claim can have written it.
+// Includes the ticket, so that no other claim can have written the object.
 std::string object_name(held_claim const& held)
 {
     return "answer/" + held.request.value + "/" + held.row.ticket;
 }
 
-enum class found_end
+enum class row_match
 {
-    ours,      ///< the end that we want is there
-    unchanged, ///< our claim stands, with another version
-    foreign    ///< somebody else has written the row since
+    finished,  ///< the claim is finished as wanted
+    unchanged, ///< our claim is still open, at another version
+    foreign    ///< another claimant has written the row since
 };
 
-found_end compare(store::row const& found, claim_row const& held,
+row_match compare(store::row const& found, claim_row const& held,
                   claim_row const& wanted)
 {
     auto const decoded =
@@ -38,11 +38,11 @@
                       row->epoch == held.epoch;
     if (!same)
     {
-        return found_end::foreign;
+        return row_match::foreign;
     }
-    return row->state == wanted.state ? found_end::ours
-           : row->state == held.state ? found_end::unchanged
-                                      : found_end::foreign;
+    return row->state == wanted.state ? row_match::finished
+           : row->state == held.state ? row_match::unchanged
+                                      : row_match::foreign;
 }
 
 store::commit_result commit_end(claim_store const& store,
@@ -53,8 +53,8 @@
     auto txn = claim_write(held.request, held.self, version, row);
     if (bill && bill->tokens > 0)
     {
-        // Without this row a router that dies between the claim's end and the
-        // settlement leaves an answer that repeats get and nobody paid for.
+        // Without this row, a router that dies between finishing the claim and
+        // the settlement leaves a stored response that is never billed.
         txn.writes.push_back(
             {budget::answered_key(held.self.incarnation, *bill),
              budget::encode(std::vector{*bill})});
@@ -83,9 +83,9 @@
     auto outcome = commit_end(store, held, row, finish.bill, version);
     auto const* found = find_row(outcome.failed, claim_key(held.request));
     if (found != nullptr &&
-        compare(*found, held.row, row) == found_end::unchanged)
+        compare(*found, held.row, row) == row_match::unchanged)
     {
-        // A row that was deleted once doesn't begin with version 1 again.
+        // A row that was deleted before does not start at version 1 again.
         version = found->version;
         outcome = commit_end(store, held, row, finish.bill, version);
         found = find_row(outcome.failed, claim_key(held.request));
@@ -99,34 +99,34 @@
     {
         return claim_end::pending;
     }
-    // The first write may have taken effect and its answer been lost; the
-    // second one is refused by it.
-    bool const own =
-        found != nullptr && compare(*found, held.row, row) == found_end::ours;
+    // The first write may have taken effect although its response was lost;
+    // then the second write conflicts with it.
+    bool const own = found != nullptr &&
+                     compare(*found, held.row, row) == row_match::finished;
     version = own ? found->version : 0;
     return own ? claim_end::kept : claim_end::superseded;
 }
 
-// Not only a claim that stands is in the way: the lost write may still be under
-// way to the table and take effect after a look has found nothing. A row
-// written over the version that it expects refuses it.
+// Writes the row even if the claim is absent: the uncertain write may still be
+// in flight and take effect after a read has found nothing. Writing the row at
+// the version that it expects makes it conflict.
 bool withdraw_claim(claim_store const& store, held_claim const& doubtful)
 {
     auto const key = claim_key(doubtful.request);
-    auto const both =
+    auto const read_result =
         value_or_error([&] { return store.platform.read({key}); });
-    auto const* const rows = std::get_if<std::vector<store::row>>(&both);
+    auto const* const rows = std::get_if<std::vector<store::row>>(&read_result);
     if (rows == nullptr)
     {
         return false;
     }
-    auto const seen = seen_in(*rows, doubtful.request);
+    auto const seen = find_claim(*rows, doubtful.request);
     if (!seen)
     {
         return false;
     }
-    bool const ours = is_own_claim(doubtful.self, *seen);
-    if (!ours && seen->version != doubtful.version)
+    bool const own = is_own_claim(doubtful.self, *seen);
+    if (!own && seen->version != doubtful.version)
     {
         return true;
     }
@@ -141,10 +141,10 @@
                    std::vector<kept_claim> const& expired)
 {
     store::transaction txn;
-    for (auto const& one : expired)
+    for (auto const& claim : expired)
     {
-        auto const key = claim_key(one.request);
-        txn.conditions.push_back({key, one.version});
+        auto const key = claim_key(claim.request);
+        txn.conditions.push_back({key, claim.version});
         txn.writes.push_back({key, std::nullopt});
     }
     auto outcome = store.platform.commit(txn);
--- a/src/request/claim_lookup.cpp
+++ b/src/request/claim_lookup.cpp
@@ -18,8 +18,8 @@
     return found == rows.end() ? nullptr : &*found;
 }
 
-std::optional<seen_claim> seen_in(std::vector<store::row> const& rows,
-                                  request_id const& request)
+std::optional<seen_claim> find_claim(std::vector<store::row> const& rows,
+                                     request_id const& request)
 {
     auto const* const found = find_row(rows, claim_key(request));
     if (found == nullptr || found->version == 0)
--- a/src/request/claim_lookup.hpp
+++ b/src/request/claim_lookup.hpp
@@ -11,14 +11,14 @@
 namespace caperpath::request
 {
 
-/// The row of `key` among `rows`, or null. Thread safe.
+/// Returns the row with `key` in `rows`, or null. Thread safe.
 store::row const* find_row(std::vector<store::row> const& rows,
                            std::string const& key);
 
-/// The claim of `request` as `rows` show it. Empty when its row cannot be
-/// understood: nothing may be decided on it. Thread safe.
-std::optional<seen_claim> seen_in(std::vector<store::row> const& rows,
-                                  request_id const& request);
+/// Returns the claim of `request` as read in `rows`. Empty if its row cannot be
+/// decoded; then no decision may be based on it. Thread safe.
+std::optional<seen_claim> find_claim(std::vector<store::row> const& rows,
+                                     request_id const& request);
 
 } // namespace caperpath::request
 
--- a/src/request/claim_row.cpp
+++ b/src/request/claim_row.cpp
@@ -43,8 +43,8 @@
     throw json::other_error::create(0, "unknown claim state " + text, nullptr);
 }
 
-// A service may answer any bytes, but a row is JSON text: what is not UTF-8 is
-// kept as hexadecimal digits, or a repeat would get other bytes.
+// A response may contain any bytes, but a row is JSON text: a body that is not
+// UTF-8 is stored as hexadecimal digits, so that a retry gets the same bytes.
 constexpr char hex_digits[] = "0123456789abcdef";
 
 std::string to_hex(std::string const& bytes)
@@ -64,7 +64,8 @@
     auto const found = std::string_view{hex_digits}.find(digit);
     if (found == std::string_view::npos)
     {
-        throw json::other_error::create(0, "not a hexadecimal digit", nullptr);
+        throw json::other_error::create(0, "invalid hexadecimal digit",
+                                        nullptr);
     }
     return static_cast<unsigned>(found);
 }
@@ -73,7 +74,8 @@
 {
     if (text.size() % 2 != 0)
     {
-        throw json::other_error::create(0, "odd number of digits", nullptr);
+        throw json::other_error::create(0, "odd number of hexadecimal digits",
+                                        nullptr);
     }
     std::string bytes;
     bytes.reserve(text.size() / 2);
@@ -154,7 +156,7 @@
     {
         write_answer(object, row);
     }
-    // A content type may hold any bytes of a service's header.
+    // The content type comes from the service's header and may hold any bytes.
     return object.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/src/request/claim_run.cpp
+++ b/src/request/claim_run.cpp
@@ -28,12 +28,12 @@
     auto const decoded =
         value_or_error([&] { return budget::decode_holder(found->value); });
     auto const* const row = std::get_if<budget::holder_row>(&decoded);
-    // A lapsed lease would prove nothing: a paused process wakes and goes on.
-    // These two states are written only with proof, and are final.
+    // An expired lease proves nothing, because a paused process may resume. The
+    // other states are written only with proof and are final.
     return row != nullptr && row->state != budget::holder_state::active;
 }
 
-/// The way of one request to its claim.
+/// Takes the claim of one request, with retries until its wait expires.
 class claim_attempt
 {
 public:
@@ -47,70 +47,73 @@
     begun_claim run();
 
 private:
-    std::optional<begun_claim> act();
+    std::optional<begun_claim> advance();
     std::optional<begun_claim> write(claim_decision const& decision);
-    void take_failed(std::vector<store::row> const& failed);
-    void look();
-    begun_claim give_reply(claim_reply reply);
-    begun_claim hold(claim_reply reply, std::uint64_t version, claim_row row);
-    begun_claim time_is_up();
+    void handle_conflict(std::vector<store::row> const& failed);
+    void refresh();
+    begun_claim make_reply(claim_reply reply);
+    begun_claim make_claimed(claim_reply reply, std::uint64_t version,
+                             claim_row row);
+    begun_claim make_timeout();
 
     claim_store const& store;
     claim_request const& asked;
     claimant const& self;
     instant until;
-    /// Empty when the table could not be read. Begins as the usual case.
-    std::optional<seen_claim> seen{seen_claim{}};
-    std::optional<held_claim> doubtful;
-    incarnation_id other; ///< the last holder seen that is not us
+    /// Empty if the table could not be read. Starts as no claim, the usual
+    /// case.
+    std::optional<seen_claim> current{seen_claim{}};
+    std::optional<held_claim> uncertain;
+    incarnation_id other_holder; ///< last holder read that is not this router
     bool fenced{false};
-    int tries{1};
+    int attempts{1};
 };
 
 begun_claim claim_attempt::run()
 {
     while (true)
     {
-        if (auto ended = this->act())
+        if (auto ended = this->advance())
         {
             return std::move(*ended);
         }
         if (this->fenced || this->store.time.now() >= this->until)
         {
-            return this->time_is_up();
+            return this->make_timeout();
         }
-        ++this->tries;
-        this->store.pause(backoff(this->tries, this->store.random()));
-        this->look();
+        ++this->attempts;
+        this->store.pause(backoff(this->attempts, this->store.random()));
+        this->refresh();
     }
 }
 
-std::optional<begun_claim> claim_attempt::act()
+std::optional<begun_claim> claim_attempt::advance()
 {
-    while (this->seen && !this->fenced)
+    while (this->current && !this->fenced)
     {
-        if (is_own_claim(this->self, *this->seen))
+        if (is_own_claim(this->self, *this->current))
         {
             claim_reply reply;
             reply.verdict = claim_verdict::run;
-            reply.epoch = this->seen->row->epoch;
-            reply.billed = this->seen->row->billed;
-            return this->hold(std::move(reply), this->seen->version,
-                              *this->seen->row);
+            reply.epoch = this->current->row->epoch;
+            reply.billed = this->current->row->billed;
+            return this->make_claimed(std::move(reply), this->current->version,
+                                      *this->current->row);
         }
         auto const decision =
-            decide_claim(this->asked, this->self, *this->seen,
+            decide_claim(this->asked, this->self, *this->current,
                          this->store.options, this->store.wall.now());
         if (!decision.txn)
         {
-            bool const waits =
+            bool const in_progress =
                 decision.reply.verdict == claim_verdict::in_progress;
-            return waits ? std::nullopt
-                         : std::optional{this->give_reply(decision.reply)};
+            return in_progress
+                       ? std::nullopt
+                       : std::optional{this->make_reply(decision.reply)};
         }
-        auto const before = this->seen;
+        auto const previous = this->current;
         auto ended = this->write(decision);
-        if (ended || this->seen == before)
+        if (ended || this->current == previous)
         {
             return ended;
         }
@@ -120,114 +123,120 @@
 
 std::optional<begun_claim> claim_attempt::write(claim_decision const& decision)
 {
-    auto const version = this->seen->version;
+    auto const version = this->current->version;
     auto const outcome = this->store.platform.commit(*decision.txn);
     switch (outcome.outcome)
     {
     case commit_outcome::applied:
-        this->doubtful.reset();
+        this->uncertain.reset();
         return decision.reply.verdict == claim_verdict::run
-                   ? this->hold(decision.reply, version + 1, decision.wanted)
-                   : this->give_reply(decision.reply);
+                   ? this->make_claimed(decision.reply, version + 1,
+                                        decision.wanted)
+                   : this->make_reply(decision.reply);
     case commit_outcome::refused:
         if (!outcome.failed.empty())
         {
-            this->take_failed(outcome.failed);
+            this->handle_conflict(outcome.failed);
         }
         break;
     case commit_outcome::unknown:
         if (decision.reply.verdict == claim_verdict::run)
         {
-            this->doubtful = held_claim{this->asked.request, this->self,
-                                        version, decision.wanted};
+            this->uncertain = held_claim{this->asked.request, this->self,
+                                         version, decision.wanted};
         }
-        this->seen.reset();
+        this->current.reset();
         break;
     }
     return std::nullopt;
 }
 
-void claim_attempt::take_failed(std::vector<store::row> const& failed)
+void claim_attempt::handle_conflict(std::vector<store::row> const& failed)
 {
     if (find_row(failed, claim_key(this->asked.request)) == nullptr)
     {
-        // Our own holder row has changed: this process counts as dead and may
-        // begin nothing any more.
+        // This router's own holder row has changed: other routers consider this
+        // process dead, so it must not begin any more requests.
         this->fenced = true;
         return;
     }
-    this->seen = seen_in(failed, this->asked.request);
-    bool const elsewhere = this->seen && this->seen->row &&
-                           this->seen->row->state == claim_state::claimed &&
-                           this->seen->row->holder != this->self.incarnation;
-    if (elsewhere)
+    this->current = find_claim(failed, this->asked.request);
+    bool const held_elsewhere =
+        this->current && this->current->row &&
+        this->current->row->state == claim_state::claimed &&
+        this->current->row->holder != this->self.incarnation;
+    if (held_elsewhere)
     {
-        this->look();
+        this->refresh();
     }
 }
 
-// One read when the claim's holder is the one that was seen last.
-void claim_attempt::look()
+// Needs one read if the claim's holder is the same as in the last read.
+void claim_attempt::refresh()
 {
     auto const claim = claim_key(this->asked.request);
     for (int read = 0; read < 2; ++read)
     {
         std::vector<std::string> keys{claim};
-        if (!this->other.value.empty())
+        if (!this->other_holder.value.empty())
         {
-            keys.push_back(budget::holder_key(this->other));
+            keys.push_back(budget::holder_key(this->other_holder));
         }
-        auto const both =
+        auto const read_result =
             value_or_error([&] { return this->store.platform.read(keys); });
-        auto const* const rows = std::get_if<std::vector<store::row>>(&both);
-        this->seen = rows == nullptr ? std::nullopt
-                                     : seen_in(*rows, this->asked.request);
-        bool const elsewhere =
-            this->seen && this->seen->row &&
-            this->seen->row->state == claim_state::claimed &&
-            this->seen->row->holder != this->self.incarnation;
-        if (!elsewhere)
+        auto const* const rows =
+            std::get_if<std::vector<store::row>>(&read_result);
+        this->current = rows == nullptr
+                            ? std::nullopt
+                            : find_claim(*rows, this->asked.request);
+        bool const held_elsewhere =
+            this->current && this->current->row &&
+            this->current->row->state == claim_state::claimed &&
+            this->current->row->holder != this->self.incarnation;
+        if (!held_elsewhere)
         {
             break;
         }
-        if (this->seen->row->holder == this->other)
+        if (this->current->row->holder == this->other_holder)
         {
-            this->seen->holder_ended = has_ended(*rows, this->other);
+            this->current->holder_ended = has_ended(*rows, this->other_holder);
             break;
         }
-        this->other = this->seen->row->holder;
+        this->other_holder = this->current->row->holder;
     }
-    // A row that has moved on refuses the write whose answer was lost.
-    if (this->doubtful && this->seen &&
-        this->seen->version != this->doubtful->version &&
-        !is_own_claim(this->self, *this->seen))
+    // The uncertain write conflicts with a row that has changed since.
+    if (this->uncertain && this->current &&
+        this->current->version != this->uncertain->version &&
+        !is_own_claim(this->self, *this->current))
     {
-        this->doubtful.reset();
+        this->uncertain.reset();
     }
 }
 
-begun_claim claim_attempt::give_reply(claim_reply reply)
+begun_claim claim_attempt::make_reply(claim_reply reply)
 {
     bool const stored = reply.verdict == claim_verdict::replay &&
-                        !this->seen->row->object.empty();
+                        !this->current->row->object.empty();
     if (stored)
     {
         auto body = value_or_error(
             [&] {
-                return this->store.platform.get_object(this->seen->row->object);
+                return this->store.platform.get_object(
+                    this->current->row->object);
             });
         if (body.index() != 0)
         {
-            // It ran, but its answer cannot be read now: ask again.
-            return this->time_is_up();
+            // The request ran, but its response cannot be read: the caller
+            // retries.
+            return this->make_timeout();
         }
         reply.answer.body = std::move(std::get<std::string>(body));
     }
     return {std::move(reply), std::nullopt, std::nullopt};
 }
 
-begun_claim claim_attempt::hold(claim_reply reply, std::uint64_t version,
-                                claim_row row)
+begun_claim claim_attempt::make_claimed(claim_reply reply,
+                                        std::uint64_t version, claim_row row)
 {
     return {
         std::move(reply),
@@ -235,15 +244,16 @@
         std::nullopt};
 }
 
-begun_claim claim_attempt::time_is_up()
+begun_claim claim_attempt::make_timeout()
 {
     claim_reply reply;
-    bool const elsewhere = this->seen && !this->fenced && this->seen->row &&
-                           this->seen->row->state == claim_state::claimed;
-    reply.verdict =
-        elsewhere ? claim_verdict::in_progress : claim_verdict::undecidable;
+    bool const held_elsewhere =
+        this->current && !this->fenced && this->current->row &&
+        this->current->row->state == claim_state::claimed;
+    reply.verdict = held_elsewhere ? claim_verdict::in_progress
+                                   : claim_verdict::undecidable;
     reply.retry_after = this->store.options.retry_after;
-    return {std::move(reply), std::nullopt, this->doubtful};
+    return {std::move(reply), std::nullopt, this->uncertain};
 }
 
 } // namespace
--- a/src/request/claim_state.cpp
+++ b/src/request/claim_state.cpp
@@ -10,21 +10,21 @@
 namespace
 {
 
-claim_reply verdict_of(claim_verdict verdict)
+claim_reply reply_of(claim_verdict verdict)
 {
     claim_reply reply;
     reply.verdict = verdict;
     return reply;
 }
 
-claim_decision answer(claim_verdict verdict)
+claim_decision reply_only(claim_verdict verdict)
 {
-    return {std::nullopt, {}, verdict_of(verdict)};
+    return {std::nullopt, {}, reply_of(verdict)};
 }
 
-claim_decision take(claim_request const& asked, claimant const& self,
-                    seen_claim const& seen, claim_options const& options,
-                    instant wall_now)
+claim_decision acquire(claim_request const& asked, claimant const& self,
+                       seen_claim const& seen, claim_options const& options,
+                       instant wall_now)
 {
     claim_row wanted;
     wanted.epoch = seen.row ? seen.row->epoch + 1 : 1;
@@ -34,18 +34,18 @@
     wanted.idempotent = asked.idempotent;
     wanted.billed = seen.row ? seen.row->billed : 0;
     wanted.keep_until = wall_now + options.retention;
-    auto reply = verdict_of(claim_verdict::run);
+    auto reply = reply_of(claim_verdict::run);
     reply.epoch = wanted.epoch;
     reply.billed = wanted.billed;
     auto txn = claim_write(asked.request, self, seen.version, wanted);
     return {std::move(txn), std::move(wanted), std::move(reply)};
 }
 
-// The dead holder may have sent the call before it died, and nobody can tell:
-// the caller hears so now and at every later try. The new epoch refuses the
-// holder's own completion, should the proof have been wrong.
-claim_decision give_up(claim_request const& asked, claimant const& self,
-                       seen_claim const& seen)
+// The dead holder may have sent the call before it died, so the outcome stays
+// unknown for this attempt and every later one. The new epoch makes the
+// holder's own completion conflict in case the proof of its death was wrong.
+claim_decision mark_unknown(claim_request const& asked, claimant const& self,
+                            seen_claim const& seen)
 {
     auto wanted = *seen.row;
     wanted.state = claim_state::unknown;
@@ -54,7 +54,7 @@
     wanted.ticket = self.ticket;
     auto txn = claim_write(asked.request, self, seen.version, wanted);
     return {std::move(txn), std::move(wanted),
-            verdict_of(claim_verdict::unknown)};
+            reply_of(claim_verdict::unknown)};
 }
 
 claim_decision decide_claimed(claim_request const& asked, claimant const& self,
@@ -63,12 +63,12 @@
 {
     if (!seen.holder_ended)
     {
-        auto waiting = answer(claim_verdict::in_progress);
+        auto waiting = reply_only(claim_verdict::in_progress);
         waiting.reply.retry_after = options.retry_after;
         return waiting;
     }
-    return idempotent ? take(asked, self, seen, options, wall_now)
-                      : give_up(asked, self, seen);
+    return idempotent ? acquire(asked, self, seen, options, wall_now)
+                      : mark_unknown(asked, self, seen);
 }
 
 } // namespace
@@ -93,28 +93,28 @@
 {
     if (!seen.row)
     {
-        return take(asked, self, seen, options, wall_now);
+        return acquire(asked, self, seen, options, wall_now);
     }
     if (seen.row->body_hash != asked.body_hash)
     {
-        return answer(claim_verdict::mismatch);
+        return reply_only(claim_verdict::mismatch);
     }
-    // A configuration may have changed in between what may be repeated: both
-    // the one who ran it and the one who would must say that it may.
+    // The configuration of the call may have changed in between: it must be
+    // idempotent both for the earlier run and for this one.
     bool const idempotent = seen.row->idempotent && asked.idempotent;
     switch (seen.row->state)
     {
     case claim_state::done:
     {
-        auto replay = answer(claim_verdict::replay);
+        auto replay = reply_only(claim_verdict::replay);
         replay.reply.answer = seen.row->answer;
         return replay;
     }
     case claim_state::not_run:
-        return take(asked, self, seen, options, wall_now);
+        return acquire(asked, self, seen, options, wall_now);
     case claim_state::unknown:
-        return idempotent ? take(asked, self, seen, options, wall_now)
-                          : answer(claim_verdict::unknown);
+        return idempotent ? acquire(asked, self, seen, options, wall_now)
+                          : reply_only(claim_verdict::unknown);
     case claim_state::claimed:
         break;
     }
--- a/src/request/retry.cpp
+++ b/src/request/retry.cpp
@@ -9,11 +9,11 @@
 {
 
 constexpr std::int64_t us_per_ms = 1'000;
-constexpr duration first_backoff{10};
-constexpr duration longest_backoff{1'000};
-constexpr int most_doublings = 7;
-constexpr std::int64_t gaps_before_trust = 8;
-constexpr duration least_retry_after{1'000};
+constexpr duration min_backoff{10};
+constexpr duration max_backoff{1'000};
+constexpr int max_doublings = 7;
+constexpr std::int64_t min_gap_count = 8;
+constexpr duration min_retry_after{1'000};
 
 } // namespace
 
@@ -34,9 +34,9 @@
 
 duration backoff(int attempt, std::uint64_t random)
 {
-    auto const doublings = std::clamp(attempt - 2, 0, most_doublings);
-    auto const longest = std::min(
-        first_backoff * (std::int64_t{1} << doublings), longest_backoff);
+    auto const doublings = std::clamp(attempt - 2, 0, max_doublings);
+    auto const longest =
+        std::min(min_backoff * (std::int64_t{1} << doublings), max_backoff);
     auto const half = longest.ms / 2;
     auto const width = static_cast<std::uint64_t>(longest.ms - half + 1);
     return {half + static_cast<std::int64_t>(random % width)};
@@ -44,22 +44,23 @@
 
 duration spread_retry_after(duration most, std::uint64_t random)
 {
-    auto const longest = std::max(most, least_retry_after);
+    auto const longest = std::max(most, min_retry_after);
     auto const width =
-        static_cast<std::uint64_t>(longest.ms - least_retry_after.ms + 1);
-    return {least_retry_after.ms + static_cast<std::int64_t>(random % width)};
+        static_cast<std::uint64_t>(longest.ms - min_retry_after.ms + 1);
+    return {min_retry_after.ms + static_cast<std::int64_t>(random % width)};
 }
 
 gap_tracker observed(gap_tracker const& state, duration gap)
 {
-    auto const faded = state.largest_us - state.largest_us / gap_tracker::decay;
+    auto const decayed =
+        state.largest_us - state.largest_us / gap_tracker::decay;
     auto const gap_us = std::max<std::int64_t>(gap.ms, 0) * us_per_ms;
-    return {std::max(faded, gap_us), state.seen + 1};
+    return {std::max(decayed, gap_us), state.seen + 1};
 }
 
 duration silence_bound(gap_tracker const& state)
 {
-    if (state.seen < gaps_before_trust)
+    if (state.seen < min_gap_count)
     {
         return gap_tracker::initial_bound;
     }
--- a/src/request/sse.cpp
+++ b/src/request/sse.cpp
@@ -8,9 +8,10 @@
 namespace
 {
 
-constexpr std::string_view field = "data:";
+constexpr std::string_view data_field = "data:";
 
-// The `data` lines of one event joined by newlines, as the format asks.
+// Joins the `data` lines of one event with newlines, as the SSE format
+// requires.
 std::string event_data(std::string_view event)
 {
     std::string data;
@@ -25,11 +26,11 @@
         {
             line.remove_suffix(1);
         }
-        if (!line.starts_with(field))
+        if (!line.starts_with(data_field))
         {
             continue;
         }
-        line.remove_prefix(field.size());
+        line.remove_prefix(data_field.size());
         if (line.starts_with(' '))
         {
             line.remove_prefix(1);
@@ -41,7 +42,7 @@
     return data;
 }
 
-// Where the event that starts at `from` ends, and where the next one starts.
+// Returns the end of the event that starts at `from` and the start of the next.
 std::pair<std::size_t, std::size_t> find_end(std::string_view text,
                                              std::size_t from)
 {
--- a/src/router/answer_json.cpp
+++ b/src/router/answer_json.cpp
@@ -14,7 +14,8 @@
 
 constexpr std::int64_t ms_per_second = 1'000;
 
-// An engine may cut a character in two; the halves are not valid UTF-8 alone.
+// An engine may split a character between two tokens, and neither half is valid
+// UTF-8.
 std::string dump(json const& value)
 {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -25,7 +26,7 @@
     return "data: " + dump(value) + "\n\n";
 }
 
-json head_of(answer_identity const& identity, char const* object)
+json head_of(response_identity const& identity, char const* object)
 {
     return {{"id", "chatcmpl-" + identity.id.value},
             {"object", object},
@@ -33,7 +34,7 @@
             {"model", identity.model.value}};
 }
 
-json chunk_of(answer_identity const& identity, json delta, json finish_reason)
+json chunk_of(response_identity const& identity, json delta, json finish_reason)
 {
     auto chunk = head_of(identity, "chat.completion.chunk");
     chunk["choices"] =
@@ -50,41 +51,41 @@
             {"total_tokens", used.prompt_tokens + used.completion_tokens}};
 }
 
-json error_of(request::refusal const& refusal)
+json error_of(request::refusal const& rejection)
 {
-    json error{{"message", refusal.message},
-               {"type", refusal.type},
+    json error{{"message", rejection.message},
+               {"type", rejection.type},
                {"param", nullptr},
-               {"code", refusal.code},
-               {"outcome", request::to_string(refusal.kind)}};
-    if (!refusal.param.empty())
+               {"code", rejection.code},
+               {"outcome", request::to_string(rejection.kind)}};
+    if (!rejection.param.empty())
     {
-        error["param"] = refusal.param;
+        error["param"] = rejection.param;
     }
     return {{"error", std::move(error)}};
 }
 
 } // namespace
 
-std::string role_event(answer_identity const& identity)
+std::string role_event(response_identity const& identity)
 {
     return event_of(
         chunk_of(identity, {{"role", "assistant"}, {"content", ""}}, nullptr));
 }
 
-std::string token_event(answer_identity const& identity,
+std::string token_event(response_identity const& identity,
                         std::string const& text)
 {
     return event_of(chunk_of(identity, {{"content", text}}, nullptr));
 }
 
-std::string finish_event(answer_identity const& identity,
+std::string finish_event(response_identity const& identity,
                          std::string const& finish_reason)
 {
     return event_of(chunk_of(identity, json::object(), finish_reason));
 }
 
-std::string usage_event(answer_identity const& identity,
+std::string usage_event(response_identity const& identity,
                         request::usage const& used)
 {
     auto chunk = head_of(identity, "chat.completion.chunk");
@@ -93,24 +94,24 @@
     return event_of(chunk);
 }
 
-std::string error_event(request::refusal const& refusal)
+std::string error_event(request::refusal const& rejection)
 {
-    return event_of(error_of(refusal));
+    return event_of(error_of(rejection));
 }
 
-std::string completion_json(answer_identity const& identity,
-                            whole_answer const& answer)
+std::string completion_json(response_identity const& identity,
+                            complete_response const& response)
 {
     auto completion = head_of(identity, "chat.completion");
     completion["choices"] = json::array(
         {{{"index", 0},
-          {"message", {{"role", "assistant"}, {"content", answer.text}}},
-          {"finish_reason", answer.finish_reason}}});
-    completion["usage"] = usage_of(answer.used);
+          {"message", {{"role", "assistant"}, {"content", response.text}}},
+          {"finish_reason", response.finish_reason}}});
+    completion["usage"] = usage_of(response.used);
     return dump(completion);
 }
 
-std::optional<whole_answer> parse_completion(std::string const& text)
+std::optional<complete_response> parse_completion(std::string const& text)
 {
     auto const body = json::parse(text, nullptr, false);
     if (!body.is_object() || !body.contains("choices"))
@@ -119,15 +120,15 @@
     }
     auto const& choice = body["choices"].at(0);
     auto const& used = body["usage"];
-    return whole_answer{choice["message"]["content"].get<std::string>(),
-                        choice["finish_reason"].get<std::string>(),
-                        {used["prompt_tokens"].get<std::int64_t>(),
-                         used["completion_tokens"].get<std::int64_t>()}};
+    return complete_response{choice["message"]["content"].get<std::string>(),
+                             choice["finish_reason"].get<std::string>(),
+                             {used["prompt_tokens"].get<std::int64_t>(),
+                              used["completion_tokens"].get<std::int64_t>()}};
 }
 
-std::string error_json(request::refusal const& refusal)
+std::string error_json(request::refusal const& rejection)
 {
-    return dump(error_of(refusal));
+    return dump(error_of(rejection));
 }
 
 std::string models_json(config::document const& document)
--- a/src/router/answer_json.hpp
+++ b/src/router/answer_json.hpp
@@ -12,50 +12,51 @@
 namespace caperpath::router
 {
 
-/// What all chunks of one answer share. Immutable value.
-struct answer_identity
+/// Fields that all chunks of one response share. Immutable value.
+struct response_identity
 {
     request_id id;
     model_id model;
     instant created; ///< wall clock
 
-    friend bool operator==(answer_identity const&,
-                           answer_identity const&) = default;
+    friend bool operator==(response_identity const&,
+                           response_identity const&) = default;
 };
 
-/// A chat answer as a whole. Immutable value.
-struct whole_answer
+/// A complete chat response. Immutable value.
+struct complete_response
 {
     std::string text;
     std::string finish_reason;
     request::usage used;
 
-    friend bool operator==(whole_answer const&, whole_answer const&) = default;
+    friend bool operator==(complete_response const&,
+                           complete_response const&) = default;
 };
 
-/// Thread safe. Each gives one server-sent event with its end.
-std::string role_event(answer_identity const& identity);
-std::string token_event(answer_identity const& identity,
+/// Each returns one server-sent event with its terminator. Thread safe.
+std::string role_event(response_identity const& identity);
+std::string token_event(response_identity const& identity,
                         std::string const& text);
-std::string finish_event(answer_identity const& identity,
+std::string finish_event(response_identity const& identity,
                          std::string const& finish_reason);
-std::string usage_event(answer_identity const& identity,
+std::string usage_event(response_identity const& identity,
                         request::usage const& used);
-std::string error_event(request::refusal const& refusal);
+std::string error_event(request::refusal const& rejection);
 inline constexpr char done_event[] = "data: [DONE]\n\n";
 
-/// Thread safe. A `chat.completion` object.
-std::string completion_json(answer_identity const& identity,
-                            whole_answer const& answer);
+/// Returns a `chat.completion` object. Thread safe.
+std::string completion_json(response_identity const& identity,
+                            complete_response const& response);
 
-/// Thread safe. The inverse, for an answer that was kept; nothing when `text`
-/// is not such an object.
-std::optional<whole_answer> parse_completion(std::string const& text);
+/// Parses a stored `chat.completion` object. Returns empty if `text` is not
+/// such an object. Thread safe.
+std::optional<complete_response> parse_completion(std::string const& text);
 
-/// Thread safe. The usual error object with the outcome beside it.
-std::string error_json(request::refusal const& refusal);
+/// Returns the usual error object, extended by the outcome. Thread safe.
+std::string error_json(request::refusal const& rejection);
 
-/// Thread safe. The answer of `GET /v1/models`.
+/// Returns the response body of `GET /v1/models`. Thread safe.
 std::string models_json(config::document const& document);
 
 } // namespace caperpath::router
--- a/src/router/chat_answer.cpp
+++ b/src/router/chat_answer.cpp
@@ -21,31 +21,32 @@
     return sink.write(text.data(), text.size());
 }
 
-// A failure after dispatch: the refusal decides how the request ended.
-void set_refused(filters::context& request, request::refusal refusal)
+// Records a failure after dispatch, which decides how the request ended.
+void set_rejected(filters::context& request, request::refusal rejection)
 {
-    request.state = filters::progress::refused;
-    request.refusal = std::move(refusal);
+    request.state = filters::progress::rejected;
+    request.rejection = std::move(rejection);
 }
 
 } // namespace
 
-chat_answer::chat_answer(filters::services const& shared,
-                         filters::incoming given)
+chat_response::chat_response(filters::request_dependencies const& shared,
+                             filters::incoming given)
     : request{shared, std::move(given)}, chain{filters::request_filters(),
                                                this->request}
 {
 }
 
-void chat_answer::begin(httplib::Response& response)
+void chat_response::begin(httplib::Response& response)
 {
     if (!this->chain.enter())
     {
         this->chain.leave();
-        write_refusal(this->request, response);
+        write_rejection(this->request, response);
         return;
     }
-    auto const& chat = std::get<request::chat_request>(this->request.work);
+    auto const& chat =
+        std::get<request::chat_request>(this->request.parsed_request);
     this->identity = {this->request.id, chat.model,
                       this->request.shared.wall.now()};
     if (this->request.replayed)
@@ -54,14 +55,14 @@
         return;
     }
     auto event = this->first_event();
-    if (event.what == relay_event::kind::failed)
+    if (event.type == relay_event::kind::failed)
     {
-        this->refuse(std::move(event.refusal), response);
+        this->reject(std::move(event.rejection), response);
         return;
     }
     if (!chat.stream)
     {
-        this->gather_whole(std::move(event), response);
+        this->collect_response(std::move(event), response);
         return;
     }
     this->first = std::move(event);
@@ -71,12 +72,12 @@
     response.set_header("Cache-Control", "no-cache");
 }
 
-bool chat_answer::streams() const
+bool chat_response::streams() const
 {
     return this->streaming;
 }
 
-relay_event chat_answer::first_event()
+relay_event chat_response::first_event()
 {
     auto event = this->request.relay->next();
     this->last_token = this->request.shared.time.now();
@@ -85,59 +86,63 @@
     return event;
 }
 
-void chat_answer::refuse(request::refusal refusal, httplib::Response& response)
+void chat_response::reject(request::refusal rejection,
+                           httplib::Response& response)
 {
-    set_refused(this->request, std::move(refusal));
+    set_rejected(this->request, std::move(rejection));
     this->chain.leave();
-    write_refusal(this->request, response);
+    write_rejection(this->request, response);
 }
 
-// The kept answer is whole; a caller that asked for a stream gets it as one
-// token, which every client that joins tokens reads as the same answer.
-void chat_answer::begin_replay(httplib::Response& response)
+// The stored response is complete. A caller that requested a stream gets it as
+// one token, which a client that joins tokens reads as the same text.
+void chat_response::begin_replay(httplib::Response& response)
 {
-    auto const kept = parse_completion(this->request.answer->body);
-    auto const& chat = std::get<request::chat_request>(this->request.work);
+    auto const stored = parse_completion(this->request.response->body);
+    auto const& chat =
+        std::get<request::chat_request>(this->request.parsed_request);
     response.set_header("X-Request-Id", this->request.id.value);
     response.set_header("Caperpath-Outcome", "completed");
     this->chain.leave();
-    if (!kept || !chat.stream)
+    if (!stored || !chat.stream)
     {
-        http::set_body(response, this->request.answer->body, json_type);
+        http::set_body(response, this->request.response->body, json_type);
         return;
     }
     auto events = role_event(this->identity) +
-                  token_event(this->identity, kept->text) +
-                  finish_event(this->identity, kept->finish_reason);
+                  token_event(this->identity, stored->text) +
+                  finish_event(this->identity, stored->finish_reason);
     if (chat.include_usage)
     {
-        events += usage_event(this->identity, kept->used);
+        events += usage_event(this->identity, stored->used);
     }
     http::set_body(response, events + done_event, "text/event-stream");
 }
 
-bool chat_answer::keeps_text() const
+bool chat_response::collects_text() const
 {
-    auto const& chat = std::get<request::chat_request>(this->request.work);
-    return !chat.stream || this->request.keeps_answer;
+    auto const& chat =
+        std::get<request::chat_request>(this->request.parsed_request);
+    return !chat.stream || this->request.stores_response;
 }
 
-void chat_answer::gather_whole(relay_event event, httplib::Response& response)
+void chat_response::collect_response(relay_event event,
+                                     httplib::Response& response)
 {
-    while (event.what == relay_event::kind::token)
+    while (event.type == relay_event::kind::token)
     {
         this->request.chat_text += event.text;
         event = this->request.relay->next();
     }
-    if (event.what == relay_event::kind::failed)
+    if (event.type == relay_event::kind::failed)
     {
-        this->refuse(std::move(event.refusal), response);
+        this->reject(std::move(event.rejection), response);
         return;
     }
     this->complete(event.text);
     if (this->request.state != filters::progress::completed)
     {
-        write_refusal(this->request, response);
+        write_rejection(this->request, response);
         return;
     }
     response.set_header("X-Request-Id", this->request.id.value);
@@ -149,14 +154,14 @@
         json_type);
 }
 
-// Bills and keeps the answer before its last byte leaves.
-void chat_answer::complete(std::string const& finish_reason)
+// Bills and stores the response before its last byte is sent.
+void chat_response::complete(std::string const& finish_reason)
 {
     this->request.state = filters::progress::completed;
     this->request.used = this->request.relay->used();
-    if (this->keeps_text())
+    if (this->collects_text())
     {
-        this->request.answer = request::kept_answer{
+        this->request.response = request::kept_answer{
             200, json_type,
             completion_json(
                 this->identity,
@@ -165,13 +170,13 @@
     this->chain.leave();
 }
 
-bool chat_answer::write(httplib::DataSink& sink)
+bool chat_response::write(httplib::DataSink& sink)
 {
-    bool const reached = this->write_answer(sink);
+    bool const reached = this->write_events(sink);
     if (!reached)
     {
-        // The caller has gone: the engine is told to stop, and what it
-        // generated until now is billed.
+        // The caller has disconnected: cancels the engine's run and bills the
+        // tokens generated so far.
         this->request.state = filters::progress::abandoned;
         this->chain.leave();
         return false;
@@ -180,14 +185,14 @@
     return true;
 }
 
-bool chat_answer::write_answer(httplib::DataSink& sink)
+bool chat_response::write_events(httplib::DataSink& sink)
 {
     if (!send(sink, role_event(this->identity)))
     {
         return false;
     }
     auto event = std::move(this->first);
-    while (event.what == relay_event::kind::token)
+    while (event.type == relay_event::kind::token)
     {
         if (!this->write_token(sink, event.text))
         {
@@ -195,43 +200,45 @@
         }
         event = this->request.relay->next();
     }
-    if (event.what == relay_event::kind::finished)
+    if (event.type == relay_event::kind::finished)
     {
         return this->write_finish(sink, event.text);
     }
-    this->write_failure(sink, std::move(event.refusal));
+    this->write_failure(sink, std::move(event.rejection));
     return true;
 }
 
-bool chat_answer::write_token(httplib::DataSink& sink, std::string const& text)
+bool chat_response::write_token(httplib::DataSink& sink,
+                                std::string const& text)
 {
     auto const now = this->request.shared.time.now();
     this->request.shared.metrics->token_gap((now - this->last_token).ms *
                                             us_per_ms);
     this->last_token = now;
-    if (this->keeps_text())
+    if (this->collects_text())
     {
         this->request.chat_text += text;
     }
     return send(sink, token_event(this->identity, text));
 }
 
-bool chat_answer::write_finish(httplib::DataSink& sink,
-                               std::string const& reason)
+bool chat_response::write_finish(httplib::DataSink& sink,
+                                 std::string const& reason)
 {
-    auto const& chat = std::get<request::chat_request>(this->request.work);
+    auto const& chat =
+        std::get<request::chat_request>(this->request.parsed_request);
     auto events = finish_event(this->identity, reason);
     if (chat.include_usage)
     {
         events += usage_event(this->identity, this->request.relay->used());
     }
-    // From here on the answer is whole, so it is billed as such even when the
-    // caller leaves before the last event.
+    // The response is complete now, so it is billed as such even if the caller
+    // disconnects before the last event.
     bool const reached = send(sink, events);
     this->complete(reason);
     if (this->request.state != filters::progress::completed)
     {
-        send(sink, error_event(*this->request.refusal));
+        send(sink, error_event(*this->request.rejection));
         return true;
     }
     if (reached)
@@ -241,47 +248,48 @@
     return true;
 }
 
-void chat_answer::write_failure(httplib::DataSink& sink,
-                                request::refusal refusal)
+void chat_response::write_failure(httplib::DataSink& sink,
+                                  request::refusal rejection)
 {
-    // Part of an answer has been given: never "not-run".
-    refusal.kind = request::outcome::unknown;
-    auto const event = error_event(refusal);
-    set_refused(this->request, std::move(refusal));
+    // The caller got part of the response, so the outcome is never "not-run".
+    rejection.kind = request::outcome::unknown;
+    auto const event = error_event(rejection);
+    set_rejected(this->request, std::move(rejection));
     this->chain.leave();
     send(sink, event);
 }
 
-void chat_answer::end()
+void chat_response::end()
 {
     if (std::exchange(this->streaming, false))
     {
         this->request.shared.metrics->stream_closed();
     }
-    if (this->request.state == filters::progress::open)
+    if (this->request.state == filters::progress::in_progress)
     {
         this->request.state = filters::progress::abandoned;
     }
     this->chain.leave();
 }
 
-void write_refusal(filters::context const& request, httplib::Response& response)
+void write_rejection(filters::context const& request,
+                     httplib::Response& response)
 {
-    auto const& refusal = *request.refusal;
-    response.status = refusal.status;
+    auto const& rejection = *request.rejection;
+    response.status = rejection.status;
     if (!request.id.value.empty())
     {
         response.set_header("X-Request-Id", request.id.value);
     }
     response.set_header("Caperpath-Outcome",
-                        std::string{request::to_string(refusal.kind)});
-    if (refusal.retry_after.ms > 0)
+                        std::string{request::to_string(rejection.kind)});
+    if (rejection.retry_after.ms > 0)
     {
         auto const seconds =
-            (refusal.retry_after.ms + ms_per_second - 1) / ms_per_second;
+            (rejection.retry_after.ms + ms_per_second - 1) / ms_per_second;
         response.set_header("Retry-After", std::to_string(seconds));
     }
-    http::set_body(response, error_json(refusal), json_type);
+    http::set_body(response, error_json(rejection), json_type);
 }
 
 } // namespace caperpath::router
--- a/src/router/chat_answer.hpp
+++ b/src/router/chat_answer.hpp
@@ -18,50 +18,52 @@
 namespace caperpath::router
 {
 
-/// One chat completion from the request to its last byte, whole or streamed.
-/// Used by one thread at a time.
-class chat_answer
+/// Serves one chat completion from the request to its last byte, complete or
+/// streamed. Used by one thread at a time.
+class chat_response
 {
 public:
-    chat_answer(filters::services const& shared, filters::incoming given);
+    chat_response(filters::request_dependencies const& shared,
+                  filters::incoming given);
 
     /// Runs the filters and waits for the first token, so that a request that
-    /// no engine takes still gets an honest status. Fills in the response
-    /// unless the answer streams.
+    /// no engine accepts still gets an error status. Fills in `response`
+    /// unless the completion is streamed.
     void begin(httplib::Response& response);
 
-    /// True when `write` has something to stream.
+    /// True if the completion is streamed with `write`.
     bool streams() const;
 
-    /// Streams the answer to its end; false when the caller has left.
+    /// Streams the completion to its end. Returns false if the caller has
+    /// disconnected.
     bool write(httplib::DataSink& sink);
 
-    /// Leaves the filters, whatever happened. Idempotent.
+    /// Leaves the filters in every case. Idempotent.
     void end();
 
 private:
     relay_event first_event();
-    void refuse(request::refusal refusal, httplib::Response& response);
+    void reject(request::refusal rejection, httplib::Response& response);
     void begin_replay(httplib::Response& response);
-    void gather_whole(relay_event first, httplib::Response& response);
-    bool write_answer(httplib::DataSink& sink);
+    void collect_response(relay_event first, httplib::Response& response);
+    bool write_events(httplib::DataSink& sink);
     bool write_token(httplib::DataSink& sink, std::string const& text);
     bool write_finish(httplib::DataSink& sink, std::string const& reason);
-    void write_failure(httplib::DataSink& sink, request::refusal refusal);
+    void write_failure(httplib::DataSink& sink, request::refusal rejection);
     void complete(std::string const& finish_reason);
-    bool keeps_text() const;
+    bool collects_text() const;
 
     filters::context request;
     filters::chain chain;
-    answer_identity identity;
+    response_identity identity;
     relay_event first;
     bool streaming{false};
     instant last_token;
 };
 
-/// Writes a refusal with its headers. Thread safe.
-void write_refusal(filters::context const& request,
-                   httplib::Response& response);
+/// Writes the request's rejection with its headers. Thread safe.
+void write_rejection(filters::context const& request,
+                     httplib::Response& response);
 
 } // namespace caperpath::router
 
--- a/src/router/front.cpp
+++ b/src/router/front.cpp
@@ -30,64 +30,64 @@
             given.get_header_value("traceparent")};
 }
 
-void answer_chat(filters::services const& shared, httplib::Request const& given,
-                 httplib::Response& response)
+void serve_chat(filters::request_dependencies const& shared,
+                httplib::Request const& given, httplib::Response& response)
 {
-    auto const answer =
-        std::make_shared<chat_answer>(shared, incoming_of(given));
-    answer->begin(response);
-    if (answer->streams())
+    auto const chat =
+        std::make_shared<chat_response>(shared, incoming_of(given));
+    chat->begin(response);
+    if (chat->streams())
     {
         response.set_chunked_content_provider(
             "text/event-stream",
-            [answer](std::size_t, httplib::DataSink& sink)
-            { return answer->write(sink); },
-            // Also runs when the caller's connection broke before the first
-            // write; without it the reservation would stay open for good.
-            [answer](bool) { answer->end(); });
+            [chat](std::size_t, httplib::DataSink& sink)
+            { return chat->write(sink); },
+            // Also called if the caller's connection broke before the first
+            // write; otherwise the reservation would never be released.
+            [chat](bool) { chat->end(); });
     }
 }
 
-void answer_service(filters::services const& shared,
-                    httplib::Request const& given, httplib::Response& response)
+void serve_service(filters::request_dependencies const& shared,
+                   httplib::Request const& given, httplib::Response& response)
 {
     filters::context request{shared, incoming_of(given)};
     filters::chain chain{filters::request_filters(), request};
     chain.enter();
-    // Leaving can still take the answer back: its bill may not be written, or a
-    // later runner may hold the claim.
+    // Leaving the filters can still withhold the response: its bill may not be
+    // written, or another router may have taken over the claim.
     chain.leave();
     if (request.state != filters::progress::completed)
     {
-        write_refusal(request, response);
+        write_rejection(request, response);
         return;
     }
-    response.status = request.answer->status;
+    response.status = request.response->status;
     response.set_header("X-Request-Id", request.id.value);
     response.set_header("Caperpath-Outcome", "completed");
-    http::set_body(response, request.answer->body,
-                   request.answer->content_type);
+    http::set_body(response, request.response->body,
+                   request.response->content_type);
 }
 
-void answer_models(filters::services const& shared,
-                   httplib::Request const& given, httplib::Response& response)
+void serve_models(filters::request_dependencies const& shared,
+                  httplib::Request const& given, httplib::Response& response)
 {
     filters::context request{shared, incoming_of(given)};
-    static std::vector<filters::filter> const only_authenticated{
+    static std::vector<filters::filter> const model_list_filters{
         filters::account_filter(), filters::authenticate_filter()};
-    filters::chain chain{only_authenticated, request};
+    filters::chain chain{model_list_filters, request};
     bool const passed = chain.enter();
     request.state = passed ? filters::progress::completed : request.state;
     chain.leave();
     if (!passed)
     {
-        write_refusal(request, response);
+        write_rejection(request, response);
         return;
     }
     http::set_body(response, models_json(*request.document), json_type);
 }
 
-// Errors that the HTTP library answers by itself get the usual error object.
+// Adds the usual error object to errors that the HTTP library itself reports.
 void describe_error(httplib::Request const&, httplib::Response& response)
 {
     if (response.has_header("Content-Type"))
@@ -95,37 +95,37 @@
         return;
     }
     bool const server_fault = response.status >= http_internal_error;
-    request::refusal refusal{response.status,
-                             request::outcome::not_run,
-                             {},
-                             server_fault ? "server_error"
-                                          : "invalid_request_error",
-                             "http_" + std::to_string(response.status),
-                             "",
-                             ""};
+    request::refusal rejection{response.status,
+                               request::outcome::not_run,
+                               {},
+                               server_fault ? "server_error"
+                                            : "invalid_request_error",
+                               "http_" + std::to_string(response.status),
+                               "",
+                               ""};
     switch (response.status)
     {
     case http_payload_too_large:
-        refusal.param = "body";
-        refusal.message = "the body is larger than this server takes";
+        rejection.param = "body";
+        rejection.message = "the body is larger than this server takes";
         break;
     case http_not_found:
-        refusal.param = "path";
-        refusal.message = "nothing is served at this path";
+        rejection.param = "path";
+        rejection.message = "nothing is served at this path";
         break;
     case http_bad_request:
-        refusal.message = "the request is not well-formed HTTP";
+        rejection.message = "the request is not well-formed HTTP";
         break;
     default:
-        refusal.message = "the request was not served";
+        rejection.message = "the request was not served";
         break;
     }
     response.set_header("Caperpath-Outcome",
-                        std::string{request::to_string(refusal.kind)});
-    http::set_body(response, error_json(refusal), json_type);
+                        std::string{request::to_string(rejection.kind)});
+    http::set_body(response, error_json(rejection), json_type);
 }
 
-std::string what_of(std::exception_ptr const& thrown)
+std::string message_of(std::exception_ptr const& thrown)
 {
     try
     {
@@ -137,16 +137,16 @@
     }
     catch (...)
     {
-        return "not a std::exception";
+        return "exception of unknown type";
     }
 }
 
-// A fault of ours: the request may have been dispatched before it.
+// Handles an internal error. The request may have been dispatched before it.
 void describe_exception(httplib::Request const&, httplib::Response& response,
                         std::exception_ptr const& thrown)
 {
-    observe::log_error({"request", {}, {}}, what_of(thrown));
-    request::refusal const refusal{
+    observe::log_error({"request", {}, {}}, message_of(thrown));
+    request::refusal const rejection{
         http_internal_error,
         request::outcome::unknown,
         {},
@@ -154,13 +154,14 @@
         "internal_error",
         "",
         "this router failed while serving the request"};
-    response.status = refusal.status;
+    response.status = rejection.status;
     response.set_header("Caperpath-Outcome",
-                        std::string{request::to_string(refusal.kind)});
-    http::set_body(response, error_json(refusal), json_type);
+                        std::string{request::to_string(rejection.kind)});
+    http::set_body(response, error_json(rejection), json_type);
 }
 
-void register_status(http::server& server, filters::services const& shared,
+void register_status(http::server& server,
+                     filters::request_dependencies const& shared,
                      status_pages const& pages)
 {
     server.Get("/healthz",
@@ -187,23 +188,24 @@
 
 } // namespace
 
-void register_routes(http::server& server, filters::services const& shared,
+void register_routes(http::server& server,
+                     filters::request_dependencies const& shared,
                      status_pages const& pages)
 {
     auto const chat =
         [&shared](httplib::Request const& given, httplib::Response& response)
     {
-        answer_chat(shared, given, response);
+        serve_chat(shared, given, response);
     };
     auto const service =
         [&shared](httplib::Request const& given, httplib::Response& response)
     {
-        answer_service(shared, given, response);
+        serve_service(shared, given, response);
     };
     auto const models =
         [&shared](httplib::Request const& given, httplib::Response& response)
     {
-        answer_models(shared, given, response);
+        serve_models(shared, given, response);
     };
     constexpr char services_pattern[] = "/services/.+";
     server.Post("/v1/chat/completions", chat);
--- a/src/router/front.hpp
+++ b/src/router/front.hpp
@@ -10,16 +10,17 @@
 namespace caperpath::router
 {
 
-/// What the status pages show. Each function is called from any thread.
+/// Sources of the status pages. Each function may be called from any thread.
 struct status_pages
 {
     std::function<bool()> ready;
     std::function<std::string()> health; ///< JSON
 };
 
-/// Registers the callers' and the operators' routes on `server`.
+/// Registers the HTTP routes for callers and operators on `server`.
 /// @pre `shared` outlives the server; the server has not been started
-void register_routes(http::server& server, filters::services const& shared,
+void register_routes(http::server& server,
+                     filters::request_dependencies const& shared,
                      status_pages const& pages);
 
 } // namespace caperpath::router
--- a/src/router/load_poller.cpp
+++ b/src/router/load_poller.cpp
@@ -16,16 +16,17 @@
 namespace
 {
 
-constexpr std::size_t most_threads = 8;
+constexpr std::size_t max_threads = 8;
 constexpr int timeout_ms = 500;
-// A newer configuration reaches the backend controller within this time.
+// Interval of the check for a new configuration, and so the longest delay until
+// the backend controller gets it.
 constexpr duration configuration_check{50};
 
-std::int64_t whole(nlohmann::json const& object, char const* name)
+std::int64_t integer_member(nlohmann::json const& object, char const* name)
 {
     auto const member = object.find(name);
-    bool const usable = member != object.end() && member->is_number_integer();
-    return usable ? member->get<std::int64_t>() : 0;
+    bool const valid = member != object.end() && member->is_number_integer();
+    return valid ? member->get<std::int64_t>() : 0;
 }
 
 controllers::load_report parse_load(backend_server_id const& id,
@@ -36,14 +37,14 @@
     {
         return {id, false, 0, 0, 0, {}, false};
     }
-    auto const leaving = body.find("leaving");
+    auto const draining = body.find("leaving");
     return {id,
             true,
-            whole(body, "running"),
-            whole(body, "queued"),
-            whole(body, "slots"),
-            {whole(body, "age_ms")},
-            leaving != body.end() && *leaving == true};
+            integer_member(body, "running"),
+            integer_member(body, "queued"),
+            integer_member(body, "slots"),
+            {integer_member(body, "age_ms")},
+            draining != body.end() && *draining == true};
 }
 
 } // namespace
@@ -53,10 +54,10 @@
                          duration interval)
     : controller{std::move(backend_controller)},
       configuration{std::move(configuration)}, time{std::move(time)},
-      interval{interval}, workers{most_threads}, thread{[this]
-                                                        {
-                                                            this->run();
-                                                        }}
+      interval{interval}, workers{max_threads}, thread{[this]
+                                                       {
+                                                           this->run();
+                                                       }}
 {
 }
 
@@ -73,26 +74,26 @@
 
 bool load_poller::view_ready() const
 {
-    return this->handed_over.load();
+    return this->configuration_sent.load();
 }
 
 void load_poller::run()
 {
-    std::shared_ptr<config::document const> in_force;
+    std::shared_ptr<config::document const> current;
     instant next_poll;
     while (true)
     {
-        auto const newer = this->configuration();
-        if (newer != nullptr && newer != in_force)
+        auto const latest = this->configuration();
+        if (latest != nullptr && latest != current)
         {
-            in_force = newer;
-            controllers::send_configuration(this->controller, in_force);
-            this->handed_over = true;
+            current = latest;
+            controllers::send_configuration(this->controller, current);
+            this->configuration_sent = true;
         }
         auto const now = this->time.now();
-        if (in_force != nullptr && now >= next_poll)
+        if (current != nullptr && now >= next_poll)
         {
-            this->poll_all(*in_force);
+            this->poll_all(*current);
             next_poll = now + this->interval;
         }
         std::unique_lock lock{this->mutex};
@@ -113,8 +114,8 @@
             continue;
         }
         std::lock_guard const lock{this->mutex};
-        bool const fresh = this->open.insert(id).second;
-        if (fresh)
+        bool const inserted = this->pending.insert(id).second;
+        if (inserted)
         {
             this->workers.enqueue([this, id = id, address = server.address]
                                   { this->poll_one(id, address); });
@@ -129,14 +130,14 @@
     httplib::Client client{where.host, where.port};
     client.set_connection_timeout(std::chrono::milliseconds{timeout_ms});
     client.set_read_timeout(std::chrono::milliseconds{timeout_ms});
-    auto const answer = client.Get("/load");
-    if (answer && answer->status == http_ok)
+    auto const response = client.Get("/load");
+    if (response && response->status == http_ok)
     {
         controllers::send_load_report(this->controller,
-                                      parse_load(id, answer->body));
+                                      parse_load(id, response->body));
     }
     std::lock_guard const lock{this->mutex};
-    this->open.erase(id);
+    this->pending.erase(id);
 }
 
 } // namespace caperpath::router
--- a/src/router/load_poller.hpp
+++ b/src/router/load_poller.hpp
@@ -20,9 +20,9 @@
 namespace caperpath::router
 {
 
-/// Hands each newer configuration to the backend controller and asks every
-/// model engine for its load. A silent engine holds up no other one. Thread
-/// safe.
+/// Sends each new configuration to the backend controller and polls the load of
+/// every model engine. An engine that does not respond delays no other poll.
+/// Thread safe.
 class load_poller
 {
 public:
@@ -34,14 +34,14 @@
                 configuration_source configuration, clock time,
                 duration interval);
 
-    /// Stops and waits for open polls, at most their timeout.
+    /// Stops and waits for open polls, at most for their timeout.
     ~load_poller();
 
     load_poller(load_poller const&) = delete;
     load_poller& operator=(load_poller const&) = delete;
 
-    /// True once the backend controller has been handed a configuration. Before
-    /// that it knows no backend server and would refuse every request.
+    /// True once a configuration has been sent to the backend controller.
+    /// Before that it knows no backend server and would reject every request.
     bool view_ready() const;
 
 private:
@@ -57,8 +57,8 @@
     std::mutex mutex;
     std::condition_variable wake;
     bool stopping{false};
-    std::atomic<bool> handed_over{false};
-    std::set<backend_server_id> open; ///< asked and not yet answered
+    std::atomic<bool> configuration_sent{false};
+    std::set<backend_server_id> pending; ///< polls without a response yet
     std::thread thread;
 };
 
--- a/src/router/platform_access.cpp
+++ b/src/router/platform_access.cpp
@@ -6,46 +6,50 @@
 namespace
 {
 
-error cut_off_error(char const* step)
+error disconnected_error(char const* step)
 {
-    return {error_kind::unavailable, step, "table", "cut off"};
+    return {error_kind::unavailable, step, "table",
+            "disconnected from the platform"};
 }
 
 } // namespace
 
-store::port severable(store::port const& inner, std::atomic<bool> const& cut)
+store::port disconnectable(store::port const& inner,
+                           std::atomic<bool> const& disconnected)
 {
     auto outer = inner;
-    outer.commit = [inner, &cut](store::transaction const& txn)
+    outer.commit = [inner, &disconnected](store::transaction const& txn)
     {
-        return cut.load() ? store::commit_result{store::commit_outcome::unknown,
-                                                 {},
-                                                 cut_off_error("commit")}
-                          : inner.commit(txn);
+        return disconnected.load()
+                   ? store::commit_result{store::commit_outcome::unknown,
+                                          {},
+                                          disconnected_error("commit")}
+                   : inner.commit(txn);
     };
-    outer.put_object =
-        [inner, &cut](std::string const& name, std::string const& content)
+    outer.put_object = [inner, &disconnected](std::string const& name,
+                                              std::string const& content)
     {
-        return cut.load() ? store::commit_result{store::commit_outcome::unknown,
-                                                 {},
-                                                 cut_off_error("put object")}
-                          : inner.put_object(name, content);
+        return disconnected.load()
+                   ? store::commit_result{store::commit_outcome::unknown,
+                                          {},
+                                          disconnected_error("put object")}
+                   : inner.put_object(name, content);
     };
-    outer.read = [inner, &cut](std::vector<std::string> const& keys)
+    outer.read = [inner, &disconnected](std::vector<std::string> const& keys)
         -> result<std::vector<store::row>>
     {
-        if (cut.load())
+        if (disconnected.load())
         {
-            return fail(cut_off_error("read"));
+            return fail(disconnected_error("read"));
         }
         return inner.read(keys);
     };
-    outer.get_object = [inner,
-                        &cut](std::string const& name) -> result<std::string>
+    outer.get_object =
+        [inner, &disconnected](std::string const& name) -> result<std::string>
     {
-        if (cut.load())
+        if (disconnected.load())
         {
-            return fail(cut_off_error("get object"));
+            return fail(disconnected_error("get object"));
         }
         return inner.get_object(name);
     };
--- a/src/router/platform_access.hpp
+++ b/src/router/platform_access.hpp
@@ -9,11 +9,14 @@
 namespace caperpath::router
 {
 
-/// Like `inner` until `cut` is set; then nothing passes and nobody learns what
-/// became of a write. Thread safe. @pre `cut` outlives the port
-store::port severable(store::port const& inner, std::atomic<bool> const& cut);
+/// Forwards to `inner` until `disconnected` is set; then every call fails, and
+/// a write with an unknown outcome. Thread safe.
+/// @pre `disconnected` outlives the port
+store::port disconnectable(store::port const& inner,
+                           std::atomic<bool> const& disconnected);
 
-/// Like `inner`, and counts the reads and writes, whoever asks. Thread safe.
+/// Forwards to `inner` and counts the reads and writes of all callers. Thread
+/// safe.
 /// @pre `metrics` outlives the port
 store::port counted(store::port const& inner, observe::metrics& metrics);
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -35,11 +35,11 @@
 namespace
 {
 
-// The actors only keep state; more threads would not make them faster.
+// The actors only update state in memory; more threads would not speed them up.
 constexpr std::size_t actor_threads = 2;
 constexpr duration connect_timeout{1'000};
-constexpr duration settle_bound{10'000};
-constexpr std::size_t most_queued_spans = 65'536;
+constexpr duration settle_timeout{10'000};
+constexpr std::size_t max_queued_spans = 65'536;
 constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
 
 struct actor_config : caf::actor_system_config
@@ -47,17 +47,17 @@
     actor_config()
     {
         this->set("scheduler.max-threads", actor_threads);
-        // Work stealing polls while it is idle; with actors that look at the
-        // time so often it never rests.
+        // Work stealing polls while idle; with actors that use timers this
+        // often, its threads would never sleep.
         this->set("scheduler.policy", caf::atom("sharing"));
     }
 };
 
 } // namespace
 
-struct router::parts
+struct router::components
 {
-    parts(settings given, std::string incarnation, std::uint64_t seed)
+    components(settings given, std::string incarnation, std::uint64_t seed)
         : given{std::move(given)},
           incarnation{std::move(incarnation)}, seed{seed}, ids{seed},
           system{this->config}, workers{this->given.max_connections * 2},
@@ -76,12 +76,12 @@
     observe::id_generator ids;
     std::atomic<std::int64_t> stop_at{never};
     std::atomic<bool> stopping{false};
-    std::atomic<bool> cut{false};
+    std::atomic<bool> disconnected{false};
     actor_config config;
     caf::actor_system system;
     http::worker_pool workers;
     http::connection_pool connections;
-    filters::services shared;
+    filters::request_dependencies shared;
     http::server server;
     caf::actor budgets;
     caf::actor backends;
@@ -99,7 +99,7 @@
     void connect(std::string const& address);
 };
 
-std::string router::parts::health()
+std::string router::components::health()
 {
     auto const budgets =
         controllers::report_budgets(this->system, this->budgets);
@@ -123,11 +123,11 @@
         .dump();
 }
 
-void router::parts::connect(std::string const& address)
+void router::components::connect(std::string const& address)
 {
     auto const platform = counted(
-        severable(store::make_http_port({.address = this->given.platform}),
-                  this->cut),
+        disconnectable(store::make_http_port({.address = this->given.platform}),
+                       this->disconnected),
         this->metrics);
     budget::settle_options settle;
     settle.durable_interval = this->given.settle_interval;
@@ -153,12 +153,12 @@
     this->shared.configuration = current;
     this->shared.budgets =
         controllers::make_budget_port(this->system, this->budgets);
-    controllers::claim_controller_options claiming;
-    claiming.incarnation = {this->incarnation};
-    claiming.platform = platform;
-    claiming.time = this->time;
-    claiming.seed = this->seed;
-    this->claims.emplace(this->system, claiming);
+    controllers::claim_controller_options claim_options;
+    claim_options.incarnation = {this->incarnation};
+    claim_options.platform = platform;
+    claim_options.time = this->time;
+    claim_options.seed = this->seed;
+    this->claims.emplace(this->system, claim_options);
     this->shared.claims = this->claims->port();
     this->shared.limits =
         controllers::make_limit_port(this->system, this->time);
@@ -174,8 +174,8 @@
 }
 
 router::router(settings given, std::string incarnation, std::uint64_t seed)
-    : inside{std::make_unique<parts>(std::move(given), std::move(incarnation),
-                                     seed)}
+    : owned{std::make_unique<components>(std::move(given),
+                                         std::move(incarnation), seed)}
 {
 }
 
@@ -183,71 +183,73 @@
 
 result<int> router::start()
 {
-    auto& all = *this->inside;
-    all.shared.spans = observe::make_null_sink();
-    if (!all.given.spans_file.empty())
+    auto& parts = *this->owned;
+    parts.shared.spans = observe::make_null_sink();
+    if (!parts.given.spans_file.empty())
     {
         BOOST_LEAF_ASSIGN(
-            all.shared.spans,
-            observe::make_file_sink(all.given.spans_file, most_queued_spans));
+            parts.shared.spans,
+            observe::make_file_sink(parts.given.spans_file, max_queued_spans));
     }
-    int const port = all.server.bind(all.given.listen);
+    int const port = parts.server.bind(parts.given.listen);
     if (port < 0)
     {
-        return fail({error_kind::unavailable, "bind", all.given.listen,
+        return fail({error_kind::unavailable, "bind", parts.given.listen,
                      "the address cannot be bound"});
     }
-    auto const host = http::parse_endpoint(all.given.listen).host;
-    all.connect(host + ":" + std::to_string(port));
-    register_routes(all.server, all.shared,
-                    {[&all] { return all.ready(); },
-                     [&all]
+    auto const host = http::parse_endpoint(parts.given.listen).host;
+    parts.connect(host + ":" + std::to_string(port));
+    register_routes(parts.server, parts.shared,
+                    {[&parts] { return parts.ready(); },
+                     [&parts]
                      {
-                         return all.health();
+                         return parts.health();
                      }});
-    all.server.serve();
+    parts.server.serve();
     return port;
 }
 
-bool router::drain_ordered() const
+bool router::drain_commanded() const
 {
-    return this->inside->configuration->drain_ordered();
+    return this->owned->configuration->drain_ordered();
 }
 
-void router::cut_off()
+void router::disconnect()
 {
-    this->inside->cut = true;
-    this->inside->stop_at = 0;
+    this->owned->disconnected = true;
+    this->owned->stop_at = 0;
 }
 
 stop_report router::stop()
 {
-    auto& all = *this->inside;
-    auto const bound = all.cut.load() ? duration{0} : settle_bound;
-    observe::log_info({"stop", {}, {}}, "not ready from now on");
-    all.stopping = true;
+    auto& parts = *this->owned;
+    auto const bound = parts.disconnected.load() ? duration{0} : settle_timeout;
+    observe::log_info({"stop", {}, {}}, "planned stop: no longer ready");
+    parts.stopping = true;
     std::this_thread::sleep_for(
-        std::chrono::milliseconds{all.given.balancer_lag.ms});
-    if (!all.cut.load())
+        std::chrono::milliseconds{parts.given.balancer_lag.ms});
+    if (!parts.disconnected.load())
     {
-        all.stop_at = (all.time.now() + all.given.drain_bound).ms;
+        parts.stop_at = (parts.time.now() + parts.given.drain_bound).ms;
     }
-    all.server.finish();
-    all.poller.reset();
-    all.workers.shutdown();
-    // Before the holder row is closed: after that no claim can be ended.
-    auto const unended = all.claims->stop(bound);
-    auto const left = controllers::stop_budgets(all.system, all.budgets, bound);
-    all.configuration.reset();
-    caf::anon_send_exit(all.backends, caf::exit_reason::user_shutdown);
-    all.shared.spans.flush();
+    parts.server.finish();
+    parts.poller.reset();
+    parts.workers.shutdown();
+    // Before the holder row is closed, because no claim can be finished after.
+    auto const unfinished = parts.claims->stop(bound);
+    auto const remaining =
+        controllers::stop_budgets(parts.system, parts.budgets, bound);
+    parts.configuration.reset();
+    caf::anon_send_exit(parts.backends, caf::exit_reason::user_shutdown);
+    parts.shared.spans.flush();
     auto const with_shares = std::count_if(
-        left.budgets.begin(), left.budgets.end(),
+        remaining.budgets.begin(), remaining.budgets.end(),
         [](auto const& budget) { return budget.granted > budget.settled; });
-    auto const claims_left = unended.open + unended.pending + unended.doubtful;
-    return {static_cast<std::int64_t>(left.unsettled_bills), with_shares,
-            static_cast<std::int64_t>(claims_left),
-            left.clean && claims_left == 0};
+    auto const unfinished_claims =
+        unfinished.open + unfinished.pending + unfinished.doubtful;
+    return {static_cast<std::int64_t>(remaining.unsettled_bills), with_shares,
+            static_cast<std::int64_t>(unfinished_claims),
+            remaining.clean && unfinished_claims == 0};
 }
 
 } // namespace caperpath::router
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -12,23 +12,24 @@
 namespace caperpath::router
 {
 
-/// What a planned stop left behind. Immutable value.
+/// State that a planned stop could not clean up. Immutable value.
 struct stop_report
 {
     std::int64_t unsettled_bills{0};
     std::int64_t budgets_with_shares{0};
-    std::int64_t unended_claims{0};
+    std::int64_t unfinished_claims{0};
     bool clean{true};
 
     friend bool operator==(stop_report const&, stop_report const&) = default;
 };
 
-/// One router process: the callers' front, the actors that own its state, and
-/// their connections to the platform. Not thread safe, but for what it serves.
+/// One router process: the HTTP server for callers, the actors that own the
+/// state, and their connections to the platform. Not thread safe, except for
+/// the requests that it serves.
 class router
 {
 public:
-    /// `incarnation` is new for each start of the process; `seed` gives the
+    /// `incarnation` is unique for each start of the process; `seed` seeds the
     /// ids and the jitter.
     router(settings given, std::string incarnation, std::uint64_t seed);
     ~router();
@@ -36,27 +37,27 @@
     router(router const&) = delete;
     router& operator=(router const&) = delete;
 
-    /// Binds and serves. Returns the port; `unavailable` when the address is
-    /// taken or the file for spans cannot be opened.
+    /// Binds and starts serving. Returns the port; fails with `unavailable` if
+    /// the address cannot be bound or the span file cannot be opened.
     result<int> start();
 
-    /// True once an operator has ordered this incarnation to drain; `stop` it
-    /// then. @pre started
-    bool drain_ordered() const;
+    /// True once an operator has commanded this incarnation to drain; then call
+    /// `stop`. @pre started
+    bool drain_commanded() const;
 
-    /// Graceful shutdown: not ready, waits for the balancer's lag, takes no
-    /// new connections, lets open answers end (up to the drain bound), settles
-    /// bills and returns shares. Blocks. Call once.
+    /// Shuts down gracefully: reports not ready, waits for the balancer's lag,
+    /// accepts no new connections, lets open responses end (up to the drain
+    /// bound), settles bills and returns shares. Blocks. Call once.
     stop_report stop();
 
-    /// Leaves the platform as a crash here would: from now on nothing of this
-    /// router reaches it. Requests that run find out by themselves, and `stop`
-    /// waits for nothing. For tests of what others do then. Thread safe.
-    void cut_off();
+    /// Emulates a crash of this router: from now on none of its calls reach the
+    /// platform. Running requests are not notified, and `stop` waits for
+    /// nothing. For tests of how other routers recover. Thread safe.
+    void disconnect();
 
 private:
-    struct parts;
-    std::unique_ptr<parts> inside;
+    struct components;
+    std::unique_ptr<components> owned;
 };
 
 } // namespace caperpath::router
--- a/src/router/service_call.cpp
+++ b/src/router/service_call.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-constexpr int most_attempts = 3;
-constexpr std::size_t most_answer_bytes = 8 * 1024 * 1024;
-constexpr duration return_within{5'000};
+constexpr int max_attempts = 3;
+constexpr std::size_t max_response_bytes = 8 * 1024 * 1024;
+constexpr duration default_retry_after{5'000};
 
-enum class attempt_end
+enum class attempt_status
 {
     answered,
     not_run, ///< provably
@@ -26,10 +26,10 @@
 
 struct attempt
 {
-    attempt_end end{attempt_end::unknown};
+    attempt_status end{attempt_status::unknown};
     routing::attempt_result report{routing::attempt_result::failed};
-    request::kept_answer answer;
-    std::string why;
+    request::kept_answer response;
+    std::string reason;
 };
 
 http::exchange_request wire_request(filters::context const& request,
@@ -41,40 +41,41 @@
         {"X-Request-Id", request.id.value},
         {"Caperpath-Attempt", std::to_string(number)},
         {"traceparent", observe::format_traceparent(span.context())}};
-    // The service sees the id that is unique over customers, not the caller's
-    // own key, which two customers may both have chosen.
+    // The service gets the id, which is unique across customers. Two customers
+    // may have chosen the same key.
     headers.emplace_back("Idempotency-Key", request.id.value);
     return {request.in.method,       work.path,
             std::move(headers),      request.in.body,
             request.in.content_type, !work.call.idempotent};
 }
 
-// A status that says by itself, or by its header, that nothing was run.
-attempt proved_not_run(http::headers const& headers)
+// The result of an attempt whose response header states that it did not run.
+attempt not_run_attempt(http::headers const& headers)
 {
-    bool const leaving =
+    bool const draining =
         http::header_value(headers, "caperpath-leaving") == "true";
-    return {attempt_end::not_run,
-            leaving ? routing::attempt_result::leaving
-                    : routing::attempt_result::overloaded,
+    return {attempt_status::not_run,
+            draining ? routing::attempt_result::leaving
+                     : routing::attempt_result::overloaded,
             {},
-            "the service said that it did not run it"};
+            "the service reported that it did not run the call"};
 }
 
-attempt read_answer(filters::context const& request, http::exchange& open)
+attempt read_response(filters::context const& request, http::exchange& open)
 {
-    request::kept_answer answer;
+    request::kept_answer response;
     while (true)
     {
-        auto const left = request.deadline - request.shared.time.now();
-        auto event = left.ms > 0 ? filters::wait_for_event(request, open, left)
-                                 : std::nullopt;
+        auto const remaining = request.deadline - request.shared.time.now();
+        auto event = remaining.ms > 0
+                         ? filters::wait_for_event(request, open, remaining)
+                         : std::nullopt;
         if (!event)
         {
-            return {attempt_end::unknown,
+            return {attempt_status::unknown,
                     routing::attempt_result::failed,
                     {},
-                    "no answer in time"};
+                    "no complete response before the deadline"};
         }
         switch (event->what)
         {
@@ -82,27 +83,28 @@
             if (http::header_value(event->headers, "caperpath-not-run") ==
                 "true")
             {
-                return proved_not_run(event->headers);
+                return not_run_attempt(event->headers);
             }
-            answer.status = event->status;
-            answer.content_type =
+            response.status = event->status;
+            response.content_type =
                 http::header_value(event->headers, "content-type");
             break;
         case http::exchange_event::kind::data:
-            answer.body += event->data;
-            if (answer.body.size() > most_answer_bytes)
+            response.body += event->data;
+            if (response.body.size() > max_response_bytes)
             {
-                return {attempt_end::unknown,
+                return {attempt_status::unknown,
                         routing::attempt_result::failed,
                         {},
-                        "the answer is too long"};
+                        "the response exceeds 8 MiB"};
             }
             break;
         case http::exchange_event::kind::end:
-            return {attempt_end::answered, routing::attempt_result::ok,
-                    std::move(answer), ""};
+            return {attempt_status::answered, routing::attempt_result::ok,
+                    std::move(response), ""};
         case http::exchange_event::kind::failed:
-            return {event->sent ? attempt_end::unknown : attempt_end::not_run,
+            return {event->sent ? attempt_status::unknown
+                                : attempt_status::not_run,
                     routing::attempt_result::failed,
                     {},
                     event->detail};
@@ -119,21 +121,21 @@
     auto const open = http::exchange::start(
         *request.shared.workers, *request.shared.connections, target.address,
         wire_request(request, work, number, span));
-    auto made = read_answer(request, *open);
-    if (made.end != attempt_end::answered)
+    auto result = read_response(request, *open);
+    if (result.end != attempt_status::answered)
     {
         open->cancel();
         observe::log_warning({"dispatch", request.id.value, target.address},
                              "attempt=" + std::to_string(number) +
-                                 " failed: " + made.why);
+                                 " failed: " + result.reason);
     }
-    request.shared.backends.report({target.id, made.report, {}});
+    request.shared.backends.report({target.id, result.report, {}});
     filters::finish_span(request, std::move(span));
-    return made;
+    return result;
 }
 
-request::refusal refusal_of(bool may_have_run, bool in_time, std::string code,
-                            std::string message)
+request::refusal rejection_of(bool may_have_run, bool in_time, std::string code,
+                              std::string message)
 {
     auto const kind =
         may_have_run ? request::outcome::unknown : request::outcome::not_run;
@@ -142,7 +144,7 @@
                                       : http_unavailable;
     return {status,
             kind,
-            may_have_run ? duration{} : return_within,
+            may_have_run ? duration{} : default_retry_after,
             "server_error",
             std::move(code),
             "",
@@ -154,39 +156,40 @@
 std::variant<request::kept_answer, request::refusal>
 call_service(filters::context& request)
 {
-    auto const& work = std::get<filters::service_request>(request.work);
-    std::vector<backend_server_id> avoid;
+    auto const& work =
+        std::get<filters::service_request>(request.parsed_request);
+    std::vector<backend_server_id> excluded;
     bool may_have_run = false;
-    for (int number = 1; number <= most_attempts; ++number)
+    for (int number = 1; number <= max_attempts; ++number)
     {
-        if (filters::stop_is_due(request))
+        if (filters::shutdown_due(request))
         {
-            return filters::stop_refusal(may_have_run);
+            return filters::shutdown_rejection(may_have_run);
         }
         auto const target = request.shared.backends.choose(
             {config::backend_kind::plain_service, work.service.value,
-             request.document->routing.policy, avoid, number});
+             request.document->routing.policy, excluded, number});
         if (target.verdict != routing::choice::chosen)
         {
-            return refusal_of(may_have_run, true, "no_backend_server",
-                              "no backend server takes this call now");
+            return rejection_of(may_have_run, true, "no_backend_server",
+                                "no backend server takes this call now");
         }
         if (number > 1)
         {
             request.shared.metrics->retried();
         }
-        auto made = make_attempt(request, work, target, number);
-        if (made.end == attempt_end::answered)
+        auto result = make_attempt(request, work, target, number);
+        if (result.end == attempt_status::answered)
         {
-            return std::move(made.answer);
+            return std::move(result.response);
         }
-        may_have_run = may_have_run || made.end == attempt_end::unknown;
-        if (filters::stop_is_due(request))
+        may_have_run = may_have_run || result.end == attempt_status::unknown;
+        if (filters::shutdown_due(request))
         {
-            return filters::stop_refusal(may_have_run);
+            return filters::shutdown_rejection(may_have_run);
         }
-        // A parts order that may have arrived must not be sent again: the
-        // client would get two batteries and pay for both.
+        // A call that may have run must not be sent again if it is not
+        // idempotent: it would be executed and paid for twice.
         if (may_have_run && !work.call.idempotent)
         {
             break;
@@ -195,16 +198,16 @@
         {
             break;
         }
-        avoid.push_back(target.id);
+        excluded.push_back(target.id);
         std::uint64_t const random = request.shared.ids->next_span_id().value;
         auto const pause = request::backoff(number + 1, random);
         std::this_thread::sleep_for(std::chrono::milliseconds{pause.ms});
     }
     bool const in_time = request.shared.time.now() < request.deadline;
-    return refusal_of(may_have_run, in_time, "backend_failed",
-                      may_have_run
-                          ? "the call was sent and no whole answer came back"
-                          : "no backend server could be reached");
+    return rejection_of(may_have_run, in_time, "backend_failed",
+                        may_have_run
+                            ? "the call was sent and no whole answer came back"
+                            : "no backend server could be reached");
 }
 
 } // namespace caperpath::router
--- a/src/router/service_call.hpp
+++ b/src/router/service_call.hpp
@@ -8,9 +8,9 @@
 namespace caperpath::router
 {
 
-/// Calls a plain service and waits for its whole answer. A call that is not
-/// idempotent goes out again only when the attempt before it provably did not
-/// run. Blocks until the request's deadline at the longest.
+/// Calls a plain service and waits for its complete response. Retries a call
+/// that is not idempotent only if the previous attempt provably did not run.
+/// Blocks at most until the request's deadline.
 /// @pre `request` holds a service request
 std::variant<request::kept_answer, request::refusal>
 call_service(filters::context& request);
--- a/src/router/settings.cpp
+++ b/src/router/settings.cpp
@@ -6,24 +6,23 @@
 namespace
 {
 
-constexpr std::int64_t longest_ms = 3'600'000;
-constexpr std::int64_t most_connections = 10'000;
-constexpr std::int64_t least_body = 1'024;
-constexpr std::int64_t most_body = 64 * 1024 * 1024;
+constexpr std::int64_t max_ms = 3'600'000;
+constexpr std::int64_t max_connections_limit = 10'000;
+constexpr std::int64_t min_body_bytes = 1'024;
+constexpr std::int64_t max_body_bytes_limit = 64 * 1024 * 1024;
 
 duration read_ms(config::json_reader& reader, std::string_view key,
-                 std::int64_t least, duration fallback)
+                 std::int64_t min, duration fallback)
 {
-    return {
-        reader.whole_or(key, "milliseconds", least, longest_ms, fallback.ms)};
+    return {reader.whole_or(key, "milliseconds", min, max_ms, fallback.ms)};
 }
 
 std::size_t read_size(config::json_reader& reader, std::string_view key,
-                      std::string_view unit, std::int64_t least,
-                      std::int64_t most, std::size_t fallback)
+                      std::string_view unit, std::int64_t min, std::int64_t max,
+                      std::size_t fallback)
 {
     return static_cast<std::size_t>(reader.whole_or(
-        key, unit, least, most, static_cast<std::int64_t>(fallback)));
+        key, unit, min, max, static_cast<std::int64_t>(fallback)));
 }
 
 } // namespace
@@ -53,10 +52,12 @@
     read.drain_bound = read_ms(reader, "drain_bound_ms", 0, read.drain_bound);
     read.read_timeout =
         read_ms(reader, "read_timeout_ms", 100, read.read_timeout);
-    read.max_connections = read_size(reader, "max_connections", "connections",
-                                     1, most_connections, read.max_connections);
-    read.max_body_bytes = read_size(reader, "max_body_bytes", "bytes",
-                                    least_body, most_body, read.max_body_bytes);
+    read.max_connections =
+        read_size(reader, "max_connections", "connections", 1,
+                  max_connections_limit, read.max_connections);
+    read.max_body_bytes =
+        read_size(reader, "max_body_bytes", "bytes", min_body_bytes,
+                  max_body_bytes_limit, read.max_body_bytes);
     reader.finish();
     return read;
 }
--- a/src/router/settings.hpp
+++ b/src/router/settings.hpp
@@ -24,21 +24,22 @@
     std::string spans_file; ///< empty: no spans are written
     duration config_poll{1'000};
     duration load_poll{1'000};
-    /// Between two ledger writes while a caller waits for its bill.
+    /// Interval between ledger writes while a caller waits for its bill.
     duration settle_interval{100};
-    /// The same while nobody waits.
+    /// Interval between ledger writes while no caller waits.
     duration deferred_settle_interval{2'000};
-    /// Between two looks for dead routers whose shares can be taken back.
+    /// Interval between searches for dead routers whose shares can be
+    /// recovered.
     duration recovery_interval{10'000};
     /// How long a VM must be missing from the platform's list to count as
-    /// destroyed; longer than that list can lag.
+    /// destroyed; must exceed the lag of that list.
     duration vm_list_lag{30'000};
-    /// How long the balancer goes on sending new callers after `/readyz` has
-    /// said no.
+    /// How long the balancer keeps sending new callers after `/readyz` reports
+    /// not ready.
     duration balancer_lag{2'000};
-    /// The longest that a planned stop waits for open answers.
+    /// Maximum time that a planned stop waits for open responses.
     duration drain_bound{120'000};
-    /// A caller that sends nothing for so long is disconnected.
+    /// A caller that sends nothing for this long is disconnected.
     duration read_timeout{10'000};
     std::size_t max_connections{1'200};
     std::size_t max_body_bytes{4 * 1024 * 1024};
@@ -46,7 +47,7 @@
     friend bool operator==(settings const&, settings const&) = default;
 };
 
-/// Thread safe. Reads the settings and adds a fault for each that is wrong.
+/// Reads the settings and adds a fault for each invalid one. Thread safe.
 settings read_settings(nlohmann::json const& value,
                        std::vector<config::fault>& faults);
 
--- a/tests/filters/drain_test.cpp
+++ b/tests/filters/drain_test.cpp
@@ -13,18 +13,18 @@
 
 using namespace caperpath;
 
-/// What becomes of a request that is read when the drain is over.
+/// Requests that are read after the drain bound has passed.
 class drain_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(drain_test);
-    CPPUNIT_TEST(a_late_request_is_refused_before_it_waits);
-    CPPUNIT_TEST(a_late_repeat_is_not_called_not_run);
-    CPPUNIT_TEST(a_request_within_the_drain_goes_on);
+    CPPUNIT_TEST(late_request_is_rejected_without_waiting);
+    CPPUNIT_TEST(late_retry_has_unknown_outcome);
+    CPPUNIT_TEST(request_within_drain_bound_proceeds);
     CPPUNIT_TEST_SUITE_END();
 
-    struct router_parts
+    struct router_state
     {
-        explicit router_parts(std::int64_t stop_at) : stop_at{stop_at}
+        explicit router_state(std::int64_t stop_at) : stop_at{stop_at}
         {
             this->shared.metrics = &this->metrics;
             this->shared.spans = observe::make_null_sink();
@@ -37,51 +37,52 @@
             };
         }
 
-        request::refusal refusal_of(filters::incoming given)
+        request::refusal rejection_of(filters::incoming given)
         {
             filters::context request{this->shared, std::move(given)};
             filters::chain chain{filters::request_filters(), request};
             CPPUNIT_ASSERT(!chain.enter());
             chain.leave();
-            return *request.refusal;
+            return *request.rejection;
         }
 
         observe::metrics metrics;
         observe::id_generator ids{1};
         std::atomic<std::int64_t> stop_at;
         int configuration_reads{};
-        filters::services shared;
+        filters::request_dependencies shared;
     };
 
-    // Guards against a request that is begun, waits for a budget and is sent
-    // although the process is about to end.
-    void a_late_request_is_refused_before_it_waits()
+    // Guards against a request that waits for its budget and is sent to a
+    // server although the process is about to end.
+    void late_request_is_rejected_without_waiting()
     {
-        router_parts late{0};
-        auto const refused = late.refusal_of({});
-        CPPUNIT_ASSERT_EQUAL(http_unavailable, refused.status);
-        CPPUNIT_ASSERT_EQUAL(std::string{"router_stops"}, refused.code);
-        CPPUNIT_ASSERT(refused.kind == request::outcome::not_run);
-        CPPUNIT_ASSERT(refused.retry_after.ms > 0);
+        router_state late{0};
+        auto const rejection = late.rejection_of({});
+        CPPUNIT_ASSERT_EQUAL(http_unavailable, rejection.status);
+        CPPUNIT_ASSERT_EQUAL(std::string{"router_stops"}, rejection.code);
+        CPPUNIT_ASSERT(rejection.kind == request::outcome::not_run);
+        CPPUNIT_ASSERT(rejection.retry_after.ms > 0);
         CPPUNIT_ASSERT_EQUAL(0, late.configuration_reads);
     }
 
-    // Guards against "not-run" for a key that another router may have run.
-    void a_late_repeat_is_not_called_not_run()
+    // Guards against "not-run" for a key whose request another router may have
+    // run.
+    void late_retry_has_unknown_outcome()
     {
-        router_parts late{0};
-        filters::incoming repeat;
-        repeat.idempotency_key = "k";
-        CPPUNIT_ASSERT(late.refusal_of(repeat).kind ==
+        router_state late{0};
+        filters::incoming retry;
+        retry.idempotency_key = "k";
+        CPPUNIT_ASSERT(late.rejection_of(retry).kind ==
                        request::outcome::unknown);
     }
 
-    // Guards against refusals before the drain is over.
-    void a_request_within_the_drain_goes_on()
+    // Guards against rejections within the drain bound.
+    void request_within_drain_bound_proceeds()
     {
-        router_parts open{std::numeric_limits<std::int64_t>::max()};
+        router_state open{std::numeric_limits<std::int64_t>::max()};
         CPPUNIT_ASSERT_EQUAL(std::string{"not_ready"},
-                             open.refusal_of({}).code);
+                             open.rejection_of({}).code);
     }
 };
 
--- a/tools/router/main.cpp
+++ b/tools/router/main.cpp
@@ -15,7 +15,7 @@
 
 constexpr int exit_failed = 1;
 
-std::uint64_t random_word()
+std::uint64_t random_u64()
 {
     std::random_device device;
     constexpr int half = 32;
@@ -23,7 +23,7 @@
 }
 
 // Blocks the signals in every thread that is started later, so that only `main`
-// takes them, between two statements and never inside a handler.
+// receives them, synchronously and never in a signal handler.
 sigset_t block_stop_signals()
 {
     sigset_t stop;
@@ -36,13 +36,13 @@
     return stop;
 }
 
-// Returns when a signal or an operator's drain order asks for a planned stop.
-void wait_for_stop(sigset_t const& stop, router::router const& serving)
+// Returns when a signal or an operator's drain command requests a planned stop.
+void wait_for_stop(sigset_t const& stop, router::router const& instance)
 {
     constexpr timespec check_interval{0, 200'000'000};
     while (sigtimedwait(&stop, nullptr, &check_interval) < 0)
     {
-        if (serving.drain_ordered())
+        if (instance.drain_commanded())
         {
             return;
         }
@@ -52,11 +52,11 @@
 int serve(router::settings const& settings)
 {
     auto const stop = block_stop_signals();
-    auto const seed = random_word();
+    auto const seed = random_u64();
     auto const incarnation =
-        settings.vm + "-" + std::to_string(random_word() % 1'000'000'000);
-    router::router serving{settings, incarnation, seed};
-    auto const started = value_or_error([&] { return serving.start(); });
+        settings.vm + "-" + std::to_string(random_u64() % 1'000'000'000);
+    router::router instance{settings, incarnation, seed};
+    auto const started = value_or_error([&] { return instance.start(); });
     if (auto const* fault = std::get_if<error>(&started))
     {
         std::cerr << to_string(*fault) << '\n';
@@ -66,15 +66,15 @@
     std::cout << R"({"listening":")" << settings.listen.substr(0, colon) << ':'
               << std::get<int>(started) << R"(","incarnation":")" << incarnation
               << "\"}" << std::endl;
-    wait_for_stop(stop, serving);
-    auto const left = serving.stop();
-    if (!left.clean)
+    wait_for_stop(stop, instance);
+    auto const remaining = instance.stop();
+    if (!remaining.clean)
     {
-        observe::log_warning(
-            {"stop", {}, {}},
-            "left unsettled_bills=" + std::to_string(left.unsettled_bills) +
-                " budgets_with_shares=" +
-                std::to_string(left.budgets_with_shares));
+        observe::log_warning({"stop", {}, {}},
+                             "planned stop left unsettled_bills=" +
+                                 std::to_string(remaining.unsettled_bills) +
+                                 " budgets_with_shares=" +
+                                 std::to_string(remaining.budgets_with_shares));
     }
     return 0;
 }
