--- a/src/request/answer.cpp
+++ b/src/request/answer.cpp
@@ -88,12 +88,12 @@
     event.request = string_member(exchange, "request");
     event.attempt = static_cast<int>(integer_member(exchange, "attempt", 0));
     event.offset = integer_member(exchange, "offset", -1);
-    auto const& usage = object_member(body, "usage");
-    if (!usage.empty())
+    auto const& token_usage = object_member(body, "usage");
+    if (!token_usage.empty())
     {
         event.what = engine_event::kind::counted;
-        event.used = {integer_member(usage, "prompt_tokens", 0),
-                      integer_member(usage, "completion_tokens", 0)};
+        event.used = {integer_member(token_usage, "prompt_tokens", 0),
+                      integer_member(token_usage, "completion_tokens", 0)};
         return event;
     }
     auto const choices = body.find("choices");
--- a/src/request/chat_request.cpp
+++ b/src/request/chat_request.cpp
@@ -195,9 +195,9 @@
 parse_chat_request(std::string_view text, config::document const& document)
 {
     auto const parsed = parse_body(text);
-    if (auto const* rejection = std::get_if<refusal>(&parsed))
+    if (auto const* fault = std::get_if<refusal>(&parsed))
     {
-        return *rejection;
+        return *fault;
     }
     auto const& body = std::get<json>(parsed);
     auto const name = body.find("model");
@@ -209,23 +209,23 @@
     auto const model = document.models.find(id);
     if (model == document.models.end())
     {
-        refusal rejection = invalid_request("model", "no model has this name");
-        rejection.status = http_not_found;
-        rejection.code = "model_not_found";
-        return rejection;
+        refusal fault = invalid_request("model", "no model has this name");
+        fault.status = http_not_found;
+        fault.code = "model_not_found";
+        return fault;
     }
     auto const bytes = prompt_bytes(body);
     auto const limit = max_tokens(body, model->second);
     auto const stream = flag(body, "stream");
     auto const usage = include_usage(body);
     auto const count = body.contains("n") ? body["n"] : json(1);
-    for (auto const* rejection :
+    for (auto const* fault :
          {std::get_if<refusal>(&bytes), std::get_if<refusal>(&limit),
           std::get_if<refusal>(&stream), std::get_if<refusal>(&usage)})
     {
-        if (rejection != nullptr)
+        if (fault != nullptr)
         {
-            return *rejection;
+            return *fault;
         }
     }
     if (count != 1 && !count.is_null())
--- a/tests/request/answer_test.cpp
+++ b/tests/request/answer_test.cpp
@@ -10,16 +10,16 @@
 using namespace caperpath;
 using namespace caperpath::request;
 
-class answer_test : public CppUnit::TestFixture
+class response_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(answer_test);
+    CPPUNIT_TEST_SUITE(response_test);
     CPPUNIT_TEST(only_the_next_token_of_this_attempt_passes);
     CPPUNIT_TEST(a_stream_without_its_end_is_broken);
-    CPPUNIT_TEST(an_answer_ends_where_the_reservation_ends);
-    CPPUNIT_TEST(events_survive_any_cutting);
+    CPPUNIT_TEST(response_is_truncated_at_the_reservation);
+    CPPUNIT_TEST(events_are_split_correctly_at_any_chunk_size);
     CPPUNIT_TEST(arbitrary_bytes_are_never_a_token);
-    CPPUNIT_TEST(retries_stay_a_tenth_of_requests);
-    CPPUNIT_TEST(the_silence_bound_follows_the_gaps);
+    CPPUNIT_TEST(retries_are_a_tenth_of_requests_at_most);
+    CPPUNIT_TEST(silence_timeout_follows_the_gaps);
     CPPUNIT_TEST_SUITE_END();
 
     static answer_state fresh(std::int64_t max_tokens = 1'000)
@@ -39,8 +39,9 @@
                 {}};
     }
 
-    // An engine mixes up two streams, repeats a chunk or leaves one out. The
-    // caller would read a foreign, doubled or holed answer as its own.
+    // Guards against an engine that mixes up two streams, repeats a chunk or
+    // skips one: the caller would get another request's, duplicate or missing
+    // tokens.
     void only_the_next_token_of_this_attempt_passes()
     {
         CPPUNIT_ASSERT(rc::check(
@@ -53,20 +54,21 @@
                         token(*rc::gen::element<std::string>("r", "s"),
                               *rc::gen::inRange(0, 3),
                               state.next_offset + *rc::gen::inRange(-1, 2));
-                    bool const ours = event.request == "r" &&
-                                      event.attempt == state.attempt &&
-                                      event.offset == state.next_offset;
-                    auto const taken = accept(state, event);
-                    RC_ASSERT((taken.verdict == acceptance::pass) == ours);
-                    RC_ASSERT(taken.state.next_offset ==
-                              state.next_offset + (ours ? 1 : 0));
-                    state = taken.state;
+                    bool const expected = event.request == "r" &&
+                                          event.attempt == state.attempt &&
+                                          event.offset == state.next_offset;
+                    auto const result = accept(state, event);
+                    RC_ASSERT((result.verdict == acceptance::pass) == expected);
+                    RC_ASSERT(result.state.next_offset ==
+                              state.next_offset + (expected ? 1 : 0));
+                    state = result.state;
                 }
             }));
     }
 
-    // A connection is cut just before the end and the engine's proxy closes the
-    // stream politely. A review without its last lines would look whole.
+    // Guards against a connection that breaks just before the end while the
+    // engine's proxy closes the stream regularly: an incomplete response would
+    // look complete.
     void a_stream_without_its_end_is_broken()
     {
         auto const state = accept(fresh(), token("r", 1, 0)).state;
@@ -75,20 +77,20 @@
         CPPUNIT_ASSERT(accept(state, done).verdict == acceptance::broken);
     }
 
-    // An engine ignores max_tokens. What it generates beyond the reservation
-    // was never set aside and would be spent beyond the budget.
-    void an_answer_ends_where_the_reservation_ends()
+    // Guards against an engine that ignores max_tokens: tokens beyond the
+    // reservation would be spent beyond the budget.
+    void response_is_truncated_at_the_reservation()
     {
         auto state = fresh(2);
         state = accept(state, token("r", 1, 0)).state;
         state = accept(state, token("r", 1, 1)).state;
-        auto const taken = accept(state, token("r", 1, 2));
-        CPPUNIT_ASSERT(taken.verdict == acceptance::cut);
-        CPPUNIT_ASSERT(taken.state.done);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, taken.state.next_offset);
+        auto const result = accept(state, token("r", 1, 2));
+        CPPUNIT_ASSERT(result.verdict == acceptance::cut);
+        CPPUNIT_ASSERT(result.state.done);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, result.state.next_offset);
     }
 
-    void events_survive_any_cutting()
+    void events_are_split_correctly_at_any_chunk_size()
     {
         CPPUNIT_ASSERT(rc::check(
             [](std::vector<std::uint8_t> const& sizes)
@@ -126,9 +128,10 @@
             }));
     }
 
-    // Every engine fails. Nine routers that each try four times would send
-    // four times the load at engines that are already down.
-    void retries_stay_a_tenth_of_requests()
+    // Guards against retries that multiply the load when every engine fails:
+    // nine routers with four attempts each would send four times the load to
+    // engines that are already down.
+    void retries_are_a_tenth_of_requests_at_most()
     {
         retry_budget state;
         constexpr int requests = 10'000;
@@ -145,7 +148,7 @@
         CPPUNIT_ASSERT(retries <= requests / 10 + 10);
     }
 
-    void the_silence_bound_follows_the_gaps()
+    void silence_timeout_follows_the_gaps()
     {
         gap_tracker state;
         CPPUNIT_ASSERT(silence_bound(state) == gap_tracker::initial_bound);
@@ -164,4 +167,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(answer_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(response_test);
--- a/tests/request/claim_test.cpp
+++ b/tests/request/claim_test.cpp
@@ -11,14 +11,14 @@
 class claim_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(claim_test);
-    CPPUNIT_TEST(a_row_survives_its_text);
-    CPPUNIT_TEST(holds_in_any_order_of_steps);
-    CPPUNIT_TEST(two_hundred_and_fifty_mixed_schedules);
+    CPPUNIT_TEST(encoded_row_decodes_unchanged);
+    CPPUNIT_TEST(invariants_hold_in_any_order_of_steps);
+    CPPUNIT_TEST(invariants_hold_in_250_fixed_schedules);
     CPPUNIT_TEST_SUITE_END();
 
-    // A service answers bytes that are not text. A caller that asks again would
-    // get something else than the first one if a row changed them.
-    void a_row_survives_its_text()
+    // Guards against a row that changes a response body that is not text: a
+    // retry would get other bytes than the first caller.
+    void encoded_row_decodes_unchanged()
     {
         bool const held = rc::check(
             "decode(encode(row)) == row",
@@ -38,74 +38,75 @@
         CPPUNIT_ASSERT(held);
     }
 
-    // Two to four routers get the same few requests while calls of the table
-    // fail, lose their answers or land late, routers crash, services lose
-    // answers and callers leave. A client would get two batteries, two bills or
-    // another verdict than the one before, or wait for ever.
-    void holds_in_any_order_of_steps()
+    // Two to four routers get the same few requests while table calls fail,
+    // lose their responses or take effect late, routers crash, services lose
+    // responses and callers disconnect. Guards against a request that runs or
+    // is billed twice, whose outcome changes, or whose retry waits forever.
+    void invariants_hold_in_any_order_of_steps()
     {
-        bool const held =
-            rc::check("one request, one outcome",
-                      []
-                      {
-                          world_settings given;
-                          given.seed = *rc::gen::arbitrary<std::uint64_t>();
-                          given.routers = *rc::gen::inRange(2, 5);
-                          given.keys = *rc::gen::inRange(1, 4);
-                          given.calls = *rc::gen::inRange(2, 14);
-                          given.crash_percent = *rc::gen::inRange(0, 8);
-                          given.store_fault_percent = *rc::gen::inRange(0, 50);
-                          given.lost_answer_percent = *rc::gen::inRange(0, 40);
-                          given.caller_leaves_percent =
-                              *rc::gen::inRange(0, 40);
-                          claim_world world{given};
-                          RC_ASSERT(world.run() == "");
-                      });
+        bool const held = rc::check(
+            "one request, one outcome",
+            []
+            {
+                simulation_settings given;
+                given.seed = *rc::gen::arbitrary<std::uint64_t>();
+                given.routers = *rc::gen::inRange(2, 5);
+                given.keys = *rc::gen::inRange(1, 4);
+                given.calls = *rc::gen::inRange(2, 14);
+                given.crash_percent = *rc::gen::inRange(0, 8);
+                given.store_fault_percent = *rc::gen::inRange(0, 50);
+                given.lost_response_percent = *rc::gen::inRange(0, 40);
+                given.caller_disconnect_percent = *rc::gen::inRange(0, 40);
+                claim_simulation simulation{given};
+                RC_ASSERT(simulation.run() == "");
+            });
         CPPUNIT_ASSERT(held);
     }
 
-    // The same as one fixed list of schedules, with the totals that users ask
-    // for: orders executed a key, and bills against answers.
-    void two_hundred_and_fifty_mixed_schedules()
+    // The same for a fixed list of schedules. Also checks two totals:
+    // executions per key, and bills against stored responses.
+    void invariants_hold_in_250_fixed_schedules()
     {
         constexpr std::uint64_t schedules = 250;
         std::int64_t executions = 0;
-        std::int64_t most_executions = 0;
-        std::int64_t answered = 0;
+        std::int64_t max_executions = 0;
+        std::int64_t stored = 0;
         std::int64_t bills = 0;
-        std::int64_t lost = 0;
+        std::int64_t lost_bills = 0;
         int crashes = 0;
         for (std::uint64_t seed = 1; seed <= schedules; ++seed)
         {
-            world_settings given;
+            simulation_settings given;
             given.seed = seed;
             given.keys = 4;
             given.calls = 16;
-            claim_world world{given};
+            claim_simulation simulation{given};
             CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(seed),
-                                         std::string{}, world.run());
-            crashes += world.crashes();
-            for (auto const& [key, record] : world.records())
+                                         std::string{}, simulation.run());
+            crashes += simulation.crashes();
+            for (auto const& [key, record] : simulation.records())
             {
                 if (!record.idempotent)
                 {
                     executions += record.executions;
-                    most_executions = std::max<std::int64_t>(most_executions,
-                                                             record.executions);
+                    max_executions = std::max<std::int64_t>(max_executions,
+                                                            record.executions);
                 }
-                answered += record.kept ? 1 : 0;
-                bills += record.kept ? record.billed : 0;
-                lost += record.kept ? record.owed - record.billed : 0;
+                stored += record.response_stored ? 1 : 0;
+                bills += record.response_stored ? record.billed : 0;
+                lost_bills +=
+                    record.response_stored ? record.owed - record.billed : 0;
             }
         }
         std::cout << "\nschedules=" << schedules << " crashes=" << crashes
                   << " orders_executed=" << executions
-                  << " most_per_key=" << most_executions
-                  << " answers_kept=" << answered << " billed=" << bills
-                  << " lost_with_their_router=" << lost << '\n';
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, most_executions);
+                  << " most_per_key=" << max_executions
+                  << " answers_kept=" << stored << " billed=" << bills
+                  << " lost_with_their_router=" << lost_bills << '\n';
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, max_executions);
         CPPUNIT_ASSERT(crashes > 0);
-        CPPUNIT_ASSERT_EQUAL(answered * claim_world::price, bills + lost);
+        CPPUNIT_ASSERT_EQUAL(stored * claim_simulation::price,
+                             bills + lost_bills);
     }
 };
 
--- a/tests/request/claim_world.cpp
+++ b/tests/request/claim_world.cpp
@@ -14,11 +14,11 @@
 
 constexpr char other_body[] = "two batteries";
 constexpr int other_body_percent = 10;
-constexpr int disturb_percent = 10;
+constexpr int event_percent = 10;
 
 } // namespace
 
-claim_world::claim_world(world_settings const& given)
+claim_simulation::claim_simulation(simulation_settings const& given)
     : given{given}, random{given.seed},
       table{std::make_shared<store::memory_table>()},
       direct{store::make_memory_port(this->table)}
@@ -32,50 +32,51 @@
     }
     for (int i = 0; i < given.keys; ++i)
     {
-        this->seen["key" + std::to_string(i)].idempotent = i % 2 == 1;
+        this->by_key["key" + std::to_string(i)].idempotent = i % 2 == 1;
     }
 }
 
-std::map<std::string, key_record> const& claim_world::records() const
+std::map<std::string, key_record> const& claim_simulation::records() const
 {
-    return this->seen;
+    return this->by_key;
 }
 
-int claim_world::crashes() const
+int claim_simulation::crashes() const
 {
     return this->crash_count;
 }
 
-bool claim_world::chance(int percent)
+bool claim_simulation::chance(int percent)
 {
-    return !this->calm && this->draw(100) < percent;
+    return !this->faults_ended && this->random_below(100) < percent;
 }
 
-int claim_world::draw(int most)
+int claim_simulation::random_below(int limit)
 {
-    return static_cast<int>(this->random() % static_cast<unsigned>(most));
+    return static_cast<int>(this->random() % static_cast<unsigned>(limit));
 }
 
-std::string claim_world::run()
+std::string claim_simulation::run()
 {
     for (int i = 0; i < this->given.calls; ++i)
     {
-        auto const router = this->draw(this->given.routers);
-        auto const key = "key" + std::to_string(this->draw(this->given.keys));
-        std::string const body = this->draw(100) < other_body_percent
+        auto const router = this->random_below(this->given.routers);
+        auto const key =
+            "key" + std::to_string(this->random_below(this->given.keys));
+        std::string const body = this->random_below(100) < other_body_percent
                                      ? other_body
-                                     : claim_world::first_body;
-        this->turns.add([this, router, key, body]
-                        { this->call(router, key, body); });
+                                     : claim_simulation::first_body;
+        this->gate.add([this, router, key, body]
+                       { this->call(router, key, body); });
     }
-    for (auto ids = this->turns.waiting(); !ids.empty();
-         ids = this->turns.waiting())
+    for (auto ids = this->gate.waiting(); !ids.empty();
+         ids = this->gate.waiting())
     {
-        this->disturb();
-        auto const pick = this->draw(static_cast<int>(ids.size()));
-        this->turns.step(ids[static_cast<std::size_t>(pick)]);
+        this->inject_events();
+        auto const pick = this->random_below(static_cast<int>(ids.size()));
+        this->gate.step(ids[static_cast<std::size_t>(pick)]);
         ++this->time;
-        for (auto const& [key, record] : this->seen)
+        for (auto const& [key, record] : this->by_key)
         {
             if (!record.idempotent && record.executions > 1)
             {
@@ -83,28 +84,30 @@
             }
         }
     }
-    this->settle();
+    this->stabilize();
     return this->check();
 }
 
-// What happens by itself between two steps.
-void claim_world::disturb()
+// Applies a delayed write or fences a crashed router between two steps.
+void claim_simulation::inject_events()
 {
-    if (!this->late.empty() && this->draw(100) < disturb_percent)
+    if (!this->delayed_writes.empty() &&
+        this->random_below(100) < event_percent)
     {
-        this->direct.commit(this->late.front());
-        this->late.pop_front();
+        this->direct.commit(this->delayed_writes.front());
+        this->delayed_writes.pop_front();
     }
     for (auto& one : this->routers)
     {
-        if (one.crashed && !one.fenced && this->draw(100) < disturb_percent)
+        if (one.crashed && !one.fenced &&
+            this->random_below(100) < event_percent)
         {
             this->fence(one);
         }
     }
 }
 
-void claim_world::fence(router& dead)
+void claim_simulation::fence(router& dead)
 {
     auto const key = budget::holder_key(dead.self.incarnation);
     budget::holder_row const row{
@@ -114,42 +117,42 @@
     dead.fenced = true;
 }
 
-// The caller retries through other routers until it hears something.
-void claim_world::call(int router, std::string const& key,
-                       std::string const& body)
+// Serves one call, which ends early if the router crashes.
+void claim_simulation::call(int router, std::string const& key,
+                            std::string const& body)
 {
     try
     {
         this->serve(router, key, body);
     }
-    catch (router_crashed const&)
+    catch (crashed_in_step const&)
     {
     }
 }
 
-request::claim_request claim_world::asked(std::string const& key,
-                                          std::string const& body) const
+request::claim_request claim_simulation::asked(std::string const& key,
+                                               std::string const& body) const
 {
-    return {{key}, body, this->seen.at(key).idempotent, {200}};
+    return {{key}, body, this->by_key.at(key).idempotent, {200}};
 }
 
-void claim_world::serve(int router, std::string const& key,
-                        std::string const& body)
+void claim_simulation::serve(int router, std::string const& key,
+                             std::string const& body)
 {
     auto self = this->routers[static_cast<std::size_t>(router)].self;
     self.ticket =
-        self.incarnation.value + "-" + std::to_string(++this->tickets);
+        self.incarnation.value + "-" + std::to_string(++this->ticket_count);
     this->pass(router);
     auto const begun = request::begin_claim(this->store_of(router),
                                             this->asked(key, body), self);
-    auto& record = this->seen[key];
+    auto& record = this->by_key[key];
     switch (begun.reply.verdict)
     {
     case request::claim_verdict::run:
         this->run_claimed(router, begun, key);
         break;
     case request::claim_verdict::replay:
-        record.answers.push_back(begun.reply.answer.body);
+        record.responses.push_back(begun.reply.answer.body);
         break;
     case request::claim_verdict::unknown:
         record.executions_at_unknown = record.executions;
@@ -163,17 +166,18 @@
     }
 }
 
-void claim_world::run_claimed(int router, request::begun_claim const& begun,
-                              std::string const& key)
+void claim_simulation::run_claimed(int router,
+                                   request::begun_claim const& begun,
+                                   std::string const& key)
 {
-    auto& record = this->seen[key];
+    auto& record = this->by_key[key];
     request::claim_finish finish{{key},
                                  begun.reply.epoch,
                                  request::claim_result::not_run,
                                  record.idempotent,
                                  0,
                                  {}};
-    bool const reached = !this->chance(this->given.lost_answer_percent);
+    bool const reached = !this->chance(this->given.lost_response_percent);
     this->pass(router);
     if (reached)
     {
@@ -185,13 +189,13 @@
                 std::string(record.executions % 2 == 0 ? 0 : 5'000, 'x')};
         finish.billed = price - begun.reply.billed;
         this->pass(router);
-        if (this->chance(this->given.lost_answer_percent))
+        if (this->chance(this->given.lost_response_percent))
         {
             finish.result = request::claim_result::unknown;
             finish.billed = 0;
         }
         else if (record.idempotent &&
-                 this->chance(this->given.caller_leaves_percent))
+                 this->chance(this->given.caller_disconnect_percent))
         {
             finish.result = request::claim_result::unknown;
             finish.billed = std::min<std::int64_t>(10, finish.billed);
@@ -210,16 +214,16 @@
         return;
     }
     bool const completed = finish.result == request::claim_result::completed;
-    // A crash here loses the bill, and the row alone tells what it was.
+    // A crash here loses the bill; only the claim's row still records it.
     this->pass(router);
     record.billed += finish.billed;
     if (completed)
     {
-        record.answers.push_back(finish.answer.body);
+        record.responses.push_back(finish.answer.body);
     }
 }
 
-void claim_world::withdraw(int router, request::held_claim const& doubtful)
+void claim_simulation::withdraw(int router, request::held_claim const& doubtful)
 {
     auto const store = this->store_of(router);
     while (!request::withdraw_claim(store, doubtful))
@@ -228,9 +232,9 @@
     }
 }
 
-void claim_world::pass(int router)
+void claim_simulation::pass(int router)
 {
-    this->turns.pass();
+    this->gate.pass();
     auto& self = this->routers[static_cast<std::size_t>(router)];
     if (!self.crashed && this->chance(this->given.crash_percent))
     {
@@ -239,12 +243,12 @@
     }
     if (self.crashed)
     {
-        throw router_crashed{};
+        throw crashed_in_step{};
     }
 }
 
-store::commit_result claim_world::commit(int router,
-                                         store::transaction const& txn)
+store::commit_result claim_simulation::commit(int router,
+                                              store::transaction const& txn)
 {
     this->pass(router);
     store::commit_result refused{
@@ -261,14 +265,14 @@
         this->pass(router);
         return outcome;
     }
-    switch (this->draw(4))
+    switch (this->random_below(4))
     {
     case 0:
         return refused;
     case 1:
         return unknown;
     case 2:
-        this->late.push_back(txn);
+        this->delayed_writes.push_back(txn);
         return unknown;
     default:
         this->direct.commit(txn);
@@ -276,7 +280,7 @@
     }
 }
 
-request::claim_store claim_world::store_of(int router)
+request::claim_store claim_simulation::store_of(int router)
 {
     auto port = this->direct;
     port.commit = [this, router](store::transaction const& txn)
--- a/tests/request/claim_world.hpp
+++ b/tests/request/claim_world.hpp
@@ -17,8 +17,9 @@
 namespace caperpath::tests
 {
 
-/// How wild one run is. `percent`s are of the steps that they can strike.
-struct world_settings
+/// Parameters of one run. Each `percent` is the probability of its fault in a
+/// step that it can affect.
+struct simulation_settings
 {
     std::uint64_t seed{};
     int routers{3};
@@ -26,33 +27,33 @@
     int calls{8};
     int crash_percent{2};
     int store_fault_percent{15};
-    int lost_answer_percent{10}; ///< of the service's answers
-    int caller_leaves_percent{10};
+    int lost_response_percent{10}; ///< of the service's responses
+    int caller_disconnect_percent{10};
 };
 
-/// One request's work as its service, its callers and the ledger saw it.
+/// Effects of one request at its service, its callers and the ledger.
 struct key_record
 {
     bool idempotent{false};
     int executions{0};
-    std::int64_t billed{0};           ///< in the ledger
-    std::int64_t owed{0};             ///< as the claim's row says at the end
-    bool kept{false};                 ///< the row holds an answer at the end
-    std::vector<std::string> answers; ///< given to callers
+    std::int64_t billed{0}; ///< in the ledger
+    std::int64_t owed{0};   ///< billed amount in the claim's row at the end
+    bool response_stored{false};        ///< the row holds a response at the end
+    std::vector<std::string> responses; ///< sent to callers
     int executions_at_unknown{-1};
 };
 
-/// Routers that claim, run, keep and bill the same few requests, driven step by
-/// step over one table: a step is one call of the table or of the service.
-class claim_world
+/// Simulates routers that claim, run, store and bill the same few requests over
+/// one table, step by step. A step is one call of the table or of the service.
+class claim_simulation
 {
 public:
     static constexpr std::int64_t price = 100;
     static constexpr char first_body[] = "one battery";
 
-    explicit claim_world(world_settings const& given);
+    explicit claim_simulation(simulation_settings const& given);
 
-    /// Runs to the end; the sentence that does not hold, empty if all do.
+    /// Runs to the end. Returns the violated invariant, or empty if all hold.
     std::string run();
 
     std::map<std::string, key_record> const& records() const;
@@ -66,12 +67,12 @@
         bool fenced{false};
     };
 
-    struct router_crashed
+    struct crashed_in_step
     {
     };
 
     bool chance(int percent);
-    int draw(int most);
+    int random_below(int limit);
     void call(int router, std::string const& key, std::string const& body);
     void serve(int router, std::string const& key, std::string const& body);
     void run_claimed(int router, request::begun_claim const& begun,
@@ -81,27 +82,27 @@
     request::claim_store store_of(int router);
     store::commit_result commit(int router, store::transaction const& txn);
     void pass(int router);
-    void disturb();
+    void inject_events();
     void fence(router& dead);
-    void settle();
+    void stabilize();
     std::string check();
     std::string check_key(std::string const& key, key_record const& record);
-    std::string check_repeat(std::string const& key, key_record const& record);
+    std::string check_retry(std::string const& key, key_record const& record);
     request::claim_request asked(std::string const& key,
                                  std::string const& body) const;
 
-    world_settings given;
+    simulation_settings given;
     std::mt19937_64 random;
     std::shared_ptr<store::memory_table> table;
     store::port direct;
-    std::deque<store::transaction> late;
+    std::deque<store::transaction> delayed_writes;
     std::vector<router> routers;
-    std::map<std::string, key_record> seen;
+    std::map<std::string, key_record> by_key;
     std::int64_t time{1'000};
-    int tickets{0};
+    int ticket_count{0};
     int crash_count{0};
-    bool calm{false};
-    turnstile turns;
+    bool faults_ended{false};
+    step_gate gate;
 };
 
 } // namespace caperpath::tests
--- a/tests/request/claim_world_check.cpp
+++ b/tests/request/claim_world_check.cpp
@@ -5,14 +5,14 @@
 namespace caperpath::tests
 {
 
-// The faults end, the late writes land, and the dead are known to be dead.
-void claim_world::settle()
+// Ends the faults, applies the delayed writes and fences the crashed routers.
+void claim_simulation::stabilize()
 {
-    this->calm = true;
-    while (!this->late.empty())
+    this->faults_ended = true;
+    while (!this->delayed_writes.empty())
     {
-        this->direct.commit(this->late.front());
-        this->late.pop_front();
+        this->direct.commit(this->delayed_writes.front());
+        this->delayed_writes.pop_front();
     }
     for (auto& one : this->routers)
     {
@@ -23,9 +23,9 @@
     }
 }
 
-std::string claim_world::check()
+std::string claim_simulation::check()
 {
-    for (auto& [key, record] : this->seen)
+    for (auto& [key, record] : this->by_key)
     {
         auto const rows =
             this->direct.read({request::claim_key({key})}).value();
@@ -33,7 +33,7 @@
         {
             auto const row = request::decode_claim(rows[0].value).value();
             record.owed = row.billed;
-            record.kept = row.state == request::claim_state::done;
+            record.response_stored = row.state == request::claim_state::done;
         }
         auto fault = this->check_key(key, record);
         if (!fault.empty())
@@ -44,18 +44,18 @@
     return "";
 }
 
-std::string claim_world::check_key(std::string const& key,
-                                   key_record const& record)
+std::string claim_simulation::check_key(std::string const& key,
+                                        key_record const& record)
 {
     if (!record.idempotent && record.executions > 1)
     {
         return "ran twice";
     }
-    for (auto const& answer : record.answers)
+    for (auto const& answer : record.responses)
     {
-        if (answer != record.answers.front())
+        if (answer != record.responses.front())
         {
-            return "two callers got different answers";
+            return "two callers got different responses";
         }
     }
     if (record.owed > price || record.billed > record.owed)
@@ -64,29 +64,29 @@
     }
     if (record.billed != record.owed && this->crash_count == 0)
     {
-        return "a bill vanished though no router died";
+        return "a bill was lost although no router crashed";
     }
-    bool const answered = !record.answers.empty();
-    if (answered && !record.kept)
+    bool const responded = !record.responses.empty();
+    if (responded && !record.response_stored)
     {
-        return "answered and not kept";
+        return "response sent but not stored";
     }
-    if (record.kept && record.owed != price)
+    if (record.response_stored && record.owed != price)
     {
-        return "kept and not billed";
+        return "response stored but not billed";
     }
     bool const ran_after = record.executions_at_unknown >= 0 &&
                            record.executions != record.executions_at_unknown;
     if (!record.idempotent && ran_after)
     {
-        return "ran after its caller had heard that nobody knows";
+        return "ran after its outcome was reported as unknown";
     }
-    return this->check_repeat(key, record);
+    return this->check_retry(key, record);
 }
 
-// Nobody waits for a runner that does not exist, and what was kept is found.
-std::string claim_world::check_repeat(std::string const& key,
-                                      key_record const& record)
+// A retry never waits for a router that is dead, and finds a stored response.
+std::string claim_simulation::check_retry(std::string const& key,
+                                          key_record const& record)
 {
     auto const holder =
         budget::bind_holder(this->direct, {"last"}, "10.0.0.8:1", {"mapo"});
@@ -109,25 +109,28 @@
     auto const row = this->direct.read({request::claim_key({key})}).value();
     auto const body =
         row.empty()
-            ? std::string{claim_world::first_body}
+            ? std::string{claim_simulation::first_body}
             : request::decode_claim(row.front().value).value().body_hash;
     auto const last =
         request::begin_claim(store, this->asked(key, body), self).reply;
     if (last.verdict == request::claim_verdict::in_progress ||
         last.verdict == request::claim_verdict::undecidable)
     {
-        return "a repeat waits for a runner that does not exist";
+        return "a retry waits for a router that is dead";
     }
-    if (record.kept != (last.verdict == request::claim_verdict::replay))
+    if (record.response_stored !=
+        (last.verdict == request::claim_verdict::replay))
     {
-        return "an answer was kept and is not found again";
+        return "a retry is replayed without a stored response, or not replayed "
+               "with one";
     }
-    if (!record.answers.empty() && last.answer.body != record.answers.front())
+    if (!record.responses.empty() &&
+        last.answer.body != record.responses.front())
     {
-        return "a repeat gets another answer";
+        return "a retry gets a different response";
     }
-    bool const reruns = last.verdict == request::claim_verdict::run;
-    if (reruns && !record.idempotent && record.executions > 0)
+    bool const runs_again = last.verdict == request::claim_verdict::run;
+    if (runs_again && !record.idempotent && record.executions > 0)
     {
         return "would run a second time";
     }
--- a/tests/request/turnstile.cpp
+++ b/tests/request/turnstile.cpp
@@ -5,7 +5,7 @@
 namespace caperpath::tests
 {
 
-turnstile::~turnstile()
+step_gate::~step_gate()
 {
     for (auto ids = this->waiting(); !ids.empty(); ids = this->waiting())
     {
@@ -17,7 +17,7 @@
     }
 }
 
-void turnstile::add(std::function<void()> task)
+void step_gate::add(std::function<void()> task)
 {
     auto const id = this->threads.size();
     this->ended.push_back(false);
@@ -36,7 +36,7 @@
         });
 }
 
-std::vector<std::size_t> turnstile::waiting() const
+std::vector<std::size_t> step_gate::waiting() const
 {
     std::vector<std::size_t> ids;
     for (std::size_t id = 0; id < this->ended.size(); ++id)
@@ -49,7 +49,7 @@
     return ids;
 }
 
-void turnstile::step(std::size_t id)
+void step_gate::step(std::size_t id)
 {
     std::unique_lock lock{this->mutex};
     this->turn = id;
@@ -58,7 +58,7 @@
     this->wait_for(lock, driver);
 }
 
-void turnstile::pass()
+void step_gate::pass()
 {
     std::unique_lock lock{this->mutex};
     auto const id = this->running;
@@ -67,7 +67,7 @@
     this->wait_for(lock, id);
 }
 
-void turnstile::wait_for(std::unique_lock<std::mutex>& lock, std::size_t id)
+void step_gate::wait_for(std::unique_lock<std::mutex>& lock, std::size_t id)
 {
     this->changed.wait(lock, [this, id] { return this->turn == id; });
 }
--- a/tests/request/turnstile.hpp
+++ b/tests/request/turnstile.hpp
@@ -12,24 +12,25 @@
 namespace caperpath::tests
 {
 
-/// Runs tasks on threads of their own, one at a time: a task runs until it
-/// calls `pass`, then the driver picks the next one. The same picks give the
-/// same run. The driver's functions are for one thread.
-class turnstile
+/// Runs tasks on separate threads, one at a time: a task runs until it calls
+/// `pass`, then the driver picks the next one. The same picks give the same
+/// run. Only one thread, the driver, may call the functions other than `pass`.
+class step_gate
 {
 public:
-    ~turnstile();
+    ~step_gate();
 
-    /// Adds a task that begins with its first `step`.
+    /// Adds a task that starts at its first `step`.
     void add(std::function<void()> task);
 
-    /// Ids of the tasks that have not ended.
+    /// Returns the ids of the tasks that have not ended.
     std::vector<std::size_t> waiting() const;
 
     /// Lets task `id` run until its next `pass` or its end.
     void step(std::size_t id);
 
-    /// Called by a task: gives the turn back and waits for the next one.
+    /// Called by a task: returns control to the driver and waits for the next
+    /// `step`.
     void pass();
 
 private:
--- a/tests/router/caller.cpp
+++ b/tests/router/caller.cpp
@@ -53,7 +53,7 @@
     return got;
 }
 
-void take_event(reply& got, std::string const& data)
+void add_event(reply& got, std::string const& data)
 {
     if (data == "[DONE]")
     {
@@ -96,10 +96,11 @@
     {
         for (auto const& event : splitter.feed({data, size}))
         {
-            take_event(got, event);
+            add_event(got, event);
             ++tokens;
         }
-        return options.leave_after < 0 || tokens < options.leave_after;
+        return options.disconnect_after < 0 ||
+               tokens < options.disconnect_after;
     };
     auto client = client_for(router, options.timeout_ms);
     httplib::Response response;
@@ -161,8 +162,8 @@
     auto request = request_of(key, method, path, body, headers);
     httplib::Response response;
     auto error = httplib::Error::Success;
-    bool const answered = client.send(request, response, error);
-    return answered ? reply_of(response) : reply{};
+    bool const received = client.send(request, response, error);
+    return received ? reply_of(response) : reply{};
 }
 
 reply order(std::string const& router, std::string const& key,
--- a/tests/router/caller.hpp
+++ b/tests/router/caller.hpp
@@ -15,8 +15,8 @@
 namespace caperpath::tests
 {
 
-/// What a caller got. `text` joins the tokens of a stream or holds the whole
-/// answer; `done` is true when the stream ended in its last event.
+/// A response as a caller received it. `text` joins the tokens of a stream or
+/// holds the complete text; `done` is true if the stream ended with `[DONE]`.
 struct reply
 {
     int status{};
@@ -24,7 +24,7 @@
     std::string retry_after;
     std::string request_id;
     nlohmann::json body;
-    std::string raw; ///< the body's bytes, when it is not a stream
+    std::string raw; ///< the body's bytes, unless it is a stream
     std::string text;
     std::string finish_reason;
     bool done{false};
@@ -36,32 +36,33 @@
 {
     std::vector<std::pair<std::string, std::string>> headers{};
     bool stream{false};
-    int max_tokens{0};            ///< 0: not given
-    std::int64_t leave_after{-1}; ///< tokens after which the caller leaves
-    int timeout_ms{30'000};       ///< after which the caller gives up: status 0
+    int max_tokens{0};                 ///< 0: not given
+    std::int64_t disconnect_after{-1}; ///< events received; -1: never
+    int timeout_ms{30'000}; ///< read timeout of the caller; then status 0
 };
 
-/// One user message to model "asistente".
+/// Sends one user message to model "asistente".
 reply chat(std::string const& router, std::string const& key,
            std::string const& prompt, call_options const& options = {});
 
-/// Any body to the chat endpoint.
+/// Sends any body to the chat endpoint.
 reply post_chat(std::string const& router, std::string const& key,
                 std::string const& body);
 
-/// Any call.
+/// Sends any request.
 reply call(std::string const& router, std::string const& key,
            std::string const& method, std::string const& path,
            std::string const& body = "",
            std::vector<std::pair<std::string, std::string>> const& headers = {},
            int timeout_ms = 30'000);
 
-/// An order of parts, which may not run twice, with an idempotency key.
+/// Sends an order of parts, which must not run twice, with an idempotency key.
 reply order(std::string const& router, std::string const& key,
             std::string const& idempotency_key,
             std::string const& body = "one battery", int timeout_ms = 30'000);
 
-/// The text that the stand-in engine answers to `prompt`, cut at `most`.
+/// Returns the text with which the engine emulator responds to `prompt`,
+/// truncated to `most` tokens.
 std::string expected_text(std::string const& prompt,
                           std::int64_t most = 1'000'000);
 
--- a/tests/router/claim_test.cpp
+++ b/tests/router/claim_test.cpp
@@ -12,16 +12,16 @@
 {
     CPPUNIT_TEST_SUITE(claim_test);
     CPPUNIT_TEST(a_retry_through_another_router_gets_the_same_bytes);
-    CPPUNIT_TEST(a_key_belongs_to_one_customer_and_one_body);
+    CPPUNIT_TEST(a_key_is_bound_to_one_customer_and_one_body);
     CPPUNIT_TEST(two_routers_at_once_run_an_order_once);
-    CPPUNIT_TEST(a_router_dies_with_an_order_under_way);
-    CPPUNIT_TEST(a_router_dies_with_an_answer_given_and_no_bill_written);
-    CPPUNIT_TEST(the_service_loses_its_answer);
-    CPPUNIT_TEST(no_claim_without_the_store);
-    CPPUNIT_TEST(the_store_loses_its_answers);
-    CPPUNIT_TEST(an_unreachable_service_has_not_run_it);
-    CPPUNIT_TEST(a_keyed_chat_is_billed_once);
-    CPPUNIT_TEST(a_keyed_chat_that_was_left_costs_no_more_in_all);
+    CPPUNIT_TEST(router_dies_while_an_order_runs);
+    CPPUNIT_TEST(router_dies_after_the_response_and_before_the_bill);
+    CPPUNIT_TEST(service_response_is_lost);
+    CPPUNIT_TEST(no_run_without_the_store);
+    CPPUNIT_TEST(store_responses_are_lost);
+    CPPUNIT_TEST(unreachable_service_means_not_run);
+    CPPUNIT_TEST(chat_with_a_key_is_billed_once);
+    CPPUNIT_TEST(retry_of_an_abandoned_chat_costs_no_more_in_total);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string code_of(reply const& got)
@@ -29,9 +29,9 @@
         return got.body["error"]["code"].get<std::string>();
     }
 
-    // A technician's connection breaks after the order went through. He presses
-    // the button again, reaches another router, and must read the same receipt;
-    // a second one is a second battery.
+    // A caller's connection breaks after its order ran, and it retries through
+    // another router. Guards against another response than the first one, which
+    // would mean a second execution.
     void a_retry_through_another_router_gets_the_same_bytes()
     {
         site here{2};
@@ -55,10 +55,9 @@
         CPPUNIT_ASSERT(here.wait_for_bills(2));
     }
 
-    // Two agencies count their orders from 1, and one of them changes an order
-    // under its old number. Neither may read the other's receipt, nor the
-    // receipt of another order than the one it sent.
-    void a_key_belongs_to_one_customer_and_one_body()
+    // Two customers use the same key, and one of them reuses it with another
+    // body. Guards against the response of another customer or of another body.
+    void a_key_is_bound_to_one_customer_and_one_body()
     {
         site here;
         auto const router = here.router_address(0);
@@ -72,8 +71,8 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, here.executions());
     }
 
-    // An impatient caller sends an order through two routers at the same time.
-    // One runs it; the other waits and gives the same receipt.
+    // A caller sends the same order through two routers at the same time. One
+    // runs it; the other waits and returns the same response.
     void two_routers_at_once_run_an_order_once()
     {
         site here{2};
@@ -91,10 +90,11 @@
         CPPUNIT_ASSERT(here.wait_for_bills(1));
     }
 
-    // A router dies after it has sent an order and before any answer. While it
-    // may still be running a retry is told to wait; once it is proved dead
-    // nobody can know whether the order ran, and everybody is told so for good.
-    void a_router_dies_with_an_order_under_way()
+    // A router dies after sending an order and before any response. While it
+    // may still be running, a retry gets 409 with Retry-After. Once it is
+    // proved dead, it cannot be known whether the order ran, and every retry
+    // gets the outcome "unknown".
+    void router_dies_while_an_order_runs()
     {
         site here{2};
         site::post_fault(here.service_address(),
@@ -103,25 +103,25 @@
                                 "one battery", 400);
         CPPUNIT_ASSERT_EQUAL(0, lost.status);
         here.crash_router(0);
-        auto const waits = order(here.router_address(1), here.key(), "dies");
-        CPPUNIT_ASSERT_EQUAL(409, waits.status);
-        CPPUNIT_ASSERT_EQUAL(std::string{"unknown"}, waits.outcome);
-        CPPUNIT_ASSERT(!waits.retry_after.empty());
+        auto const waiting = order(here.router_address(1), here.key(), "dies");
+        CPPUNIT_ASSERT_EQUAL(409, waiting.status);
+        CPPUNIT_ASSERT_EQUAL(std::string{"unknown"}, waiting.outcome);
+        CPPUNIT_ASSERT(!waiting.retry_after.empty());
         here.prove_dead(0);
         for (int i = 0; i < 2; ++i)
         {
-            auto const told = order(here.router_address(1), here.key(), "dies");
-            CPPUNIT_ASSERT_EQUAL(502, told.status);
-            CPPUNIT_ASSERT_EQUAL(std::string{"unknown"}, told.outcome);
-            CPPUNIT_ASSERT_EQUAL(std::string{"outcome_unknown"}, code_of(told));
+            auto const got = order(here.router_address(1), here.key(), "dies");
+            CPPUNIT_ASSERT_EQUAL(502, got.status);
+            CPPUNIT_ASSERT_EQUAL(std::string{"unknown"}, got.outcome);
+            CPPUNIT_ASSERT_EQUAL(std::string{"outcome_unknown"}, code_of(got));
         }
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, here.executions());
     }
 
-    // A router answers an order and dies before it has written the bill. The
-    // answer is kept, so every repeat gets it; without its bill the workshop
-    // would have it for nothing, and the budget would be overspent by it.
-    void a_router_dies_with_an_answer_given_and_no_bill_written()
+    // A router responds to an order and dies before it has written the bill.
+    // The response is stored and every retry gets it. Guards against a lost
+    // bill, by which the budget would be overspent.
+    void router_dies_after_the_response_and_before_the_bill()
     {
         site here{2};
         auto const first =
@@ -137,26 +137,27 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, here.executions());
     }
 
-    // The service runs an order and its connection breaks before the answer.
-    // "Not run" would be a lie and a second try a second battery.
-    void the_service_loses_its_answer()
+    // The service runs an order and its connection breaks before the response.
+    // Guards against the outcome "not-run" and against a second execution.
+    void service_response_is_lost()
     {
         site here{2};
         site::post_fault(here.service_address(),
                          {{"kind", "drop_answer"}, {"count", 1}});
         for (std::size_t i = 0; i < 4; ++i)
         {
-            auto const told =
+            auto const got =
                 order(here.router_address(i % 2), here.key(), "lost");
-            CPPUNIT_ASSERT_EQUAL(502, told.status);
-            CPPUNIT_ASSERT_EQUAL(std::string{"unknown"}, told.outcome);
+            CPPUNIT_ASSERT_EQUAL(502, got.status);
+            CPPUNIT_ASSERT_EQUAL(std::string{"unknown"}, got.outcome);
         }
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, here.executions());
     }
 
-    // The platform's table is down when an order comes. Run without a claim it
-    // could run again elsewhere; it has to wait for the table.
-    void no_claim_without_the_store()
+    // The platform's table is down when an order arrives. Guards against
+    // running it without a claim: it could run a second time through another
+    // router.
+    void no_run_without_the_store()
     {
         site here;
         site::post_fault(here.platform_address(),
@@ -173,10 +174,10 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, here.executions());
     }
 
-    // The table takes the claim and the kept answer, and loses both of its own
-    // answers. Taken for refused, the order would never run again or its
-    // receipt would be lost.
-    void the_store_loses_its_answers()
+    // The table commits the claim and the stored response, but both of its
+    // responses are lost. Guards against treating the commits as rejected: the
+    // order would never run, or its response would be lost.
+    void store_responses_are_lost()
     {
         site here{2};
         order(here.router_address(0), here.key(), "warm");
@@ -191,25 +192,25 @@
                              here.executions(first.request_id));
     }
 
-    // Nobody listens at the service's address, so no byte of the order has
-    // reached it: the caller may believe "not-run", also through another router
-    // and later.
-    void an_unreachable_service_has_not_run_it()
+    // No process listens at the service's address, so no byte of the order has
+    // reached it: the outcome is "not-run", also for a later retry through
+    // another router.
+    void unreachable_service_means_not_run()
     {
         site here{2};
         here.stop_service();
         for (std::size_t i = 0; i < 2; ++i)
         {
-            auto const told =
+            auto const got =
                 order(here.router_address(i), here.key(), "unreachable");
-            CPPUNIT_ASSERT_EQUAL(503, told.status);
-            CPPUNIT_ASSERT_EQUAL(std::string{"not-run"}, told.outcome);
+            CPPUNIT_ASSERT_EQUAL(503, got.status);
+            CPPUNIT_ASSERT_EQUAL(std::string{"not-run"}, got.outcome);
         }
     }
 
-    // A designer's client retries a review with the same key. She reads the
-    // same review, and her agency pays for one.
-    void a_keyed_chat_is_billed_once()
+    // A client retries a chat with the same key. It gets the same response, and
+    // the customer is billed once.
+    void chat_with_a_key_is_billed_once()
     {
         site here{2};
         call_options const options{.headers = {{"Idempotency-Key", "review"}}};
@@ -223,10 +224,10 @@
         CPPUNIT_ASSERT(here.wait_for_bills(1));
     }
 
-    // A caller leaves a keyed chat half way and asks for it again. What was
-    // generated is billed, and the whole answer costs as much as if she had
-    // stayed.
-    void a_keyed_chat_that_was_left_costs_no_more_in_all()
+    // A caller disconnects during a chat with a key and retries it. The tokens
+    // generated before are billed, and both runs together cost as much as one
+    // complete response.
+    void retry_of_an_abandoned_chat_costs_no_more_in_total()
     {
         auto engine = site::fast_engine();
         engine.token_time = {5};
@@ -234,10 +235,10 @@
         std::string const prompt = "review it all [tokens=200]";
         call_options options{.headers = {{"Idempotency-Key", "left"}},
                              .stream = true,
-                             .leave_after = 8};
+                             .disconnect_after = 8};
         chat(here.router_address(0), here.key(), prompt, options);
         CPPUNIT_ASSERT(here.wait_for_bills(1));
-        options.leave_after = -1;
+        options.disconnect_after = -1;
         auto const whole =
             chat(here.router_address(1), here.key(), prompt, options);
         CPPUNIT_ASSERT_EQUAL(expected_text(prompt), whole.text);
--- a/tests/router/sender_test.cpp
+++ b/tests/router/sender_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-// A connection on which a test sends any bytes.
+// A connection on which a test can send arbitrary bytes.
 class raw_caller
 {
 public:
@@ -50,7 +50,7 @@
         shutdown(this->socket, SHUT_WR);
     }
 
-    // Everything up to the end that the router makes.
+    // Reads until the router closes the connection.
     std::string read_all() const
     {
         std::string all;
@@ -82,15 +82,15 @@
 class sender_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(sender_test);
-    CPPUNIT_TEST(a_slow_sender_is_dropped_and_costs_nothing);
-    CPPUNIT_TEST(a_half_closed_sender_gets_its_answer);
+    CPPUNIT_TEST(slow_sender_is_disconnected_and_not_billed);
+    CPPUNIT_TEST(half_closed_sender_gets_its_response);
     CPPUNIT_TEST(headers_cannot_be_injected);
-    CPPUNIT_TEST(nonsense_takes_nobody_down);
+    CPPUNIT_TEST(malformed_bytes_affect_no_other_caller);
     CPPUNIT_TEST_SUITE_END();
 
-    // A client sends half a request and stops. It must not hold its thread for
-    // good, and others are served meanwhile.
-    void a_slow_sender_is_dropped_and_costs_nothing()
+    // A client sends half a request and stops. Guards against a thread that is
+    // never released; other callers are served in the meantime.
+    void slow_sender_is_disconnected_and_not_billed()
     {
         site here;
         raw_caller const head{here.router_address(0)};
@@ -101,26 +101,26 @@
         CPPUNIT_ASSERT_EQUAL(
             200, chat(here.router_address(0), here.key(), "meanwhile").status);
         head.read_all();
-        auto const told = body.read_all();
-        CPPUNIT_ASSERT(told.empty() || told.starts_with("HTTP/1.1 4"));
+        auto const response = body.read_all();
+        CPPUNIT_ASSERT(response.empty() || response.starts_with("HTTP/1.1 4"));
         CPPUNIT_ASSERT(here.wait_for_bills(1));
     }
 
-    // Some clients close their sending side once the request is out. That is no
-    // sign that they have left.
-    void a_half_closed_sender_gets_its_answer()
+    // Some clients close their sending side after the request. Guards against
+    // treating them as disconnected.
+    void half_closed_sender_gets_its_response()
     {
         site here;
         raw_caller const caller{here.router_address(0)};
         caller.send(chat_text(here.key(), ""));
         caller.half_close();
-        auto const told = caller.read_all();
-        CPPUNIT_ASSERT(told.starts_with("HTTP/1.1 200"));
+        auto const response = caller.read_all();
+        CPPUNIT_ASSERT(response.starts_with("HTTP/1.1 200"));
         CPPUNIT_ASSERT(here.wait_for_bills(1));
     }
 
-    // A caller hides a line break in a value that the router hands on. Passed
-    // through, it would add a header of its choice to the engine's request.
+    // A caller hides a line break in a value that the router forwards. Guards
+    // against a header of the caller's choice in the engine's request.
     void headers_cannot_be_injected()
     {
         site here;
@@ -131,18 +131,20 @@
         {
             raw_caller const caller{here.router_address(0)};
             caller.send(chat_text(here.key(), header));
-            auto const told = caller.read_all();
-            CPPUNIT_ASSERT_MESSAGE(told, told.starts_with("HTTP/1.1 400"));
-            CPPUNIT_ASSERT(told.find("Idempotency-Key") != std::string::npos);
+            auto const response = caller.read_all();
+            CPPUNIT_ASSERT_MESSAGE(response,
+                                   response.starts_with("HTTP/1.1 400"));
+            CPPUNIT_ASSERT(response.find("Idempotency-Key") !=
+                           std::string::npos);
         }
         raw_caller const trace{here.router_address(0)};
         trace.send(chat_text(here.key(), "traceparent: 00-zz\rX: y\r\n"));
-        auto const told = trace.read_all();
-        CPPUNIT_ASSERT(told.starts_with("HTTP/1.1 200") ||
-                       told.starts_with("HTTP/1.1 400"));
+        auto const response = trace.read_all();
+        CPPUNIT_ASSERT(response.starts_with("HTTP/1.1 200") ||
+                       response.starts_with("HTTP/1.1 400"));
     }
 
-    void nonsense_takes_nobody_down()
+    void malformed_bytes_affect_no_other_caller()
     {
         site here;
         for (std::string const& bytes :
@@ -156,8 +158,9 @@
             raw_caller const caller{here.router_address(0)};
             caller.send(bytes);
             caller.half_close();
-            auto const told = caller.read_all();
-            CPPUNIT_ASSERT(told.empty() || told.starts_with("HTTP/1.1 4"));
+            auto const response = caller.read_all();
+            CPPUNIT_ASSERT(response.empty() ||
+                           response.starts_with("HTTP/1.1 4"));
         }
         CPPUNIT_ASSERT_EQUAL(
             200, chat(here.router_address(0), here.key(), "still here").status);
--- a/tests/router/settings_test.cpp
+++ b/tests/router/settings_test.cpp
@@ -10,13 +10,13 @@
 class settings_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(settings_test);
-    CPPUNIT_TEST(the_example_is_what_stands_without_it);
-    CPPUNIT_TEST(every_fault_is_named);
+    CPPUNIT_TEST(example_equals_the_defaults);
+    CPPUNIT_TEST(every_fault_is_reported);
     CPPUNIT_TEST_SUITE_END();
 
-    // The example shows the defaults; one that differs would mislead whoever
-    // starts from it.
-    void the_example_is_what_stands_without_it()
+    // Guards against an example that differs from the defaults: it would
+    // mislead users who start from it.
+    void example_equals_the_defaults()
     {
         std::ifstream file{CAPERPATH_SOURCE_DIR "/examples/router.json"};
         std::vector<config::fault> faults;
@@ -31,7 +31,7 @@
         CPPUNIT_ASSERT(example == defaults);
     }
 
-    void every_fault_is_named()
+    void every_fault_is_reported()
     {
         auto const value = nlohmann::json::parse(
             R"({"vm": 7, "failure_domian": "x", "listen": "here:80",
--- a/tests/router/shutdown_test.cpp
+++ b/tests/router/shutdown_test.cpp
@@ -10,15 +10,15 @@
 using namespace caperpath;
 using namespace caperpath::tests;
 
-/// Each request that was read has its answer when a planned stop is over, and
-/// nothing keeps the stop beyond its drain bound.
+/// Every request that was read gets a response before a planned stop ends, and
+/// no request delays the stop beyond its drain bound.
 class shutdown_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(shutdown_test);
-    CPPUNIT_TEST(what_ends_within_the_drain_bound_is_whole);
-    CPPUNIT_TEST(a_service_call_open_at_the_drain_bound_is_answered);
-    CPPUNIT_TEST(a_chat_open_at_the_drain_bound_is_answered);
-    CPPUNIT_TEST(a_stream_open_at_the_drain_bound_does_not_look_whole);
+    CPPUNIT_TEST(responses_within_the_drain_bound_are_complete);
+    CPPUNIT_TEST(service_call_open_at_the_drain_bound_gets_an_error);
+    CPPUNIT_TEST(chat_open_at_the_drain_bound_gets_an_error);
+    CPPUNIT_TEST(stream_open_at_the_drain_bound_is_not_complete);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration short_drain{100};
@@ -27,10 +27,10 @@
     template <typename Condition>
     static void wait_until(Condition const& holds)
     {
-        constexpr int most_tries = 1'000;
-        for (int tries = 0; !holds(); ++tries)
+        constexpr int max_polls = 1'000;
+        for (int polls = 0; !holds(); ++polls)
         {
-            CPPUNIT_ASSERT(tries < most_tries);
+            CPPUNIT_ASSERT(polls < max_polls);
             std::this_thread::sleep_for(std::chrono::milliseconds{10});
         }
     }
@@ -40,7 +40,7 @@
         return got.body.is_object() ? got.body["error"].value("code", "") : "";
     }
 
-    // An engine whose answer takes longer than any drain here.
+    // An engine whose responses take longer than `short_drain`.
     static stand_in::engine_settings slow_engine()
     {
         auto engine = site::fast_engine();
@@ -48,16 +48,16 @@
         return engine;
     }
 
-    static bool runs_one(site const& here)
+    static bool has_run(site const& here)
     {
         return here.engine_stats(0)["runs"].size() +
                    here.engine_stats(1)["runs"].size() >
                0;
     }
 
-    // Guards against answers that end after the stop has begun and are not
-    // written.
-    void what_ends_within_the_drain_bound_is_whole()
+    // Guards against responses that end after the stop has begun and are not
+    // sent.
+    void responses_within_the_drain_bound_are_complete()
     {
         for (bool const stream : {false, true})
         {
@@ -70,7 +70,7 @@
                                return chat(here.router_address(0), here.key(),
                                            prompt, {.stream = stream});
                            });
-            wait_until([&] { return runs_one(here); });
+            wait_until([&] { return has_run(here); });
             here.stop_router(0);
             auto const got = open.get();
             CPPUNIT_ASSERT_EQUAL(200, got.status);
@@ -79,10 +79,10 @@
         }
     }
 
-    // Guards against a service call that holds the stop until the request's
-    // own deadline, when the process has been killed and the caller has
-    // nothing.
-    void a_service_call_open_at_the_drain_bound_is_answered()
+    // Guards against a service call that delays the stop until the request's
+    // own deadline: the process would be killed before the caller got a
+    // response.
+    void service_call_open_at_the_drain_bound_gets_an_error()
     {
         site here{1, site::fast_engine(), long_timeout, {short_drain}};
         site::post_fault(here.service_address(),
@@ -98,9 +98,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"router_stops"}, code_of(got));
     }
 
-    // Guards against a chat that is told that its own time is over when it is
-    // the router that ends.
-    void a_chat_open_at_the_drain_bound_is_answered()
+    // Guards against reporting the request's own deadline when the cause is the
+    // router's stop.
+    void chat_open_at_the_drain_bound_gets_an_error()
     {
         site here{1, slow_engine(), long_timeout, {short_drain}};
         auto open =
@@ -110,7 +110,7 @@
                            return chat(here.router_address(0), here.key(),
                                        "a long plan [tokens=300]");
                        });
-        wait_until([&] { return runs_one(here); });
+        wait_until([&] { return has_run(here); });
         here.stop_router(0);
         auto const got = open.get();
         CPPUNIT_ASSERT_EQUAL(504, got.status);
@@ -118,8 +118,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"router_stops"}, code_of(got));
     }
 
-    // Guards against a part of a stream that its reader takes for the whole.
-    void a_stream_open_at_the_drain_bound_does_not_look_whole()
+    // Guards against an incomplete stream that looks complete to its reader.
+    void stream_open_at_the_drain_bound_is_not_complete()
     {
         site here{1, slow_engine(), long_timeout, {short_drain}};
         auto open = std::async(
@@ -129,7 +129,7 @@
                 return chat(here.router_address(0), here.key(),
                             "a long plan [tokens=300]", {.stream = true});
             });
-        wait_until([&] { return runs_one(here); });
+        wait_until([&] { return has_run(here); });
         here.stop_router(0);
         auto const got = open.get();
         CPPUNIT_ASSERT(!got.done);
--- a/tests/router/site.cpp
+++ b/tests/router/site.cpp
@@ -19,10 +19,10 @@
 {
 
 constexpr std::size_t engine_count = 2;
-constexpr std::size_t most_rows = 10'000;
+constexpr std::size_t max_rows = 10'000;
 constexpr int http_ok = 200;
-// Bounds that a passing run never reaches; they end a run that has failed.
-constexpr int most_tries = 400;
+// A passing run never reaches these limits; they end a failed run.
+constexpr int max_polls = 400;
 constexpr auto pause = std::chrono::milliseconds{25};
 
 std::string loopback(int port)
@@ -45,12 +45,12 @@
     }
 }
 
-bool answers_ready(std::string const& address)
+bool reports_ready(std::string const& address)
 {
     auto const where = http::parse_endpoint(address);
     httplib::Client client{where.host, where.port};
-    auto const answer = client.Get("/readyz");
-    return answer && answer->status == http_ok;
+    auto const response = client.Get("/readyz");
+    return response && response->status == http_ok;
 }
 
 } // namespace
@@ -88,7 +88,7 @@
 
 site::~site()
 {
-    // A silent stand-in would keep a router's stop waiting.
+    // A silent emulator would delay a router's stop.
     if (!this->service_stopped)
     {
         clear_faults(this->service_address());
@@ -168,10 +168,10 @@
     check(accepted.status == config::patch_status::accepted, "configuration");
     for (auto const* budget : {"agency", "technicians"})
     {
-        auto const raised = value_or_error(
+        auto const topped_up = value_or_error(
             [&]
             { return budget::top_up(this->port, {budget}, "first", paid); });
-        check(std::holds_alternative<token_count>(raised), "top-up");
+        check(std::holds_alternative<token_count>(topped_up), "top-up");
     }
 }
 
@@ -195,12 +195,12 @@
         value_or_error([&] { return this->routers.back()->start(); });
     check(std::holds_alternative<int>(started), "start router");
     this->router_ports.push_back(std::get<int>(started));
-    for (int i = 0; !answers_ready(this->router_address(index)); ++i)
+    for (int i = 0; !reports_ready(this->router_address(index)); ++i)
     {
-        check(i < most_tries, "router is not ready");
+        check(i < max_polls, "router is not ready");
         std::this_thread::sleep_for(pause);
     }
-    // The view of backend servers follows the configuration within 50 ms.
+    // The list of backend servers is updated within 50 ms of the configuration.
     std::this_thread::sleep_for(4 * pause);
 }
 
@@ -250,7 +250,7 @@
 std::vector<budget::bill> site::ledger() const
 {
     std::vector<budget::bill> all;
-    auto const rows = this->port.scan("ledger/", "", most_rows).value();
+    auto const rows = this->port.scan("ledger/", "", max_rows).value();
     for (auto const& row : rows)
     {
         auto const bills = budget::decode_bills(row.value).value();
@@ -261,7 +261,7 @@
 
 bool site::wait_for_bills(std::size_t count) const
 {
-    for (int i = 0; i < most_tries; ++i)
+    for (int i = 0; i < max_polls; ++i)
     {
         std::size_t costly = 0;
         for (auto const& bill : this->ledger())
@@ -279,28 +279,28 @@
 
 void site::crash_router(std::size_t index)
 {
-    this->routers.at(index)->cut_off();
+    this->routers.at(index)->disconnect();
 }
 
 void site::prove_dead(std::size_t index)
 {
     auto const name = "vm-" + std::to_string(index) + "-1";
-    auto const taken = value_or_error(
+    auto const recovered = value_or_error(
         [&]
         {
             return budget::recover(
                 this->port, {{name}, budget::proof_kind::absent_after_listed});
         });
-    check(taken.index() == 0, "recover");
+    check(recovered.index() == 0, "recover");
 }
 
 nlohmann::json site::get(std::string const& address, char const* path)
 {
     auto const where = http::parse_endpoint(address);
     httplib::Client client{where.host, where.port};
-    auto const answer = client.Get(path);
-    check(answer && answer->status == http_ok, path);
-    return nlohmann::json::parse(answer->body);
+    auto const response = client.Get(path);
+    check(response && response->status == http_ok, path);
+    return nlohmann::json::parse(response->body);
 }
 
 std::int64_t site::executions(std::string const& id) const
@@ -329,30 +329,31 @@
     this->service_stopped = true;
 }
 
-void site::order_engine(std::size_t index, std::string const& order)
+void site::command_engine(std::size_t index, std::string const& command)
 {
     auto const where = http::parse_endpoint(this->engine_address(index));
     httplib::Client client{where.host, where.port};
-    nlohmann::json const body{{"fencing", 1}, {"order", order}};
-    auto const answer = client.Post("/orders", body.dump(), "application/json");
-    check(answer && answer->status == http_ok, "order engine");
+    nlohmann::json const body{{"fencing", 1}, {"order", command}};
+    auto const response =
+        client.Post("/orders", body.dump(), "application/json");
+    check(response && response->status == http_ok, "command engine");
 }
 
 void site::clear_faults(std::string const& address)
 {
     auto const where = http::parse_endpoint(address);
     httplib::Client client{where.host, where.port};
-    auto const answer = client.Delete("/faults");
-    check(answer && answer->status / 100 == 2, "clear faults");
+    auto const response = client.Delete("/faults");
+    check(response && response->status / 100 == 2, "clear faults");
 }
 
 void site::post_fault(std::string const& address, nlohmann::json const& fault)
 {
     auto const where = http::parse_endpoint(address);
     httplib::Client client{where.host, where.port};
-    auto const answer =
+    auto const response =
         client.Post("/faults", fault.dump(), "application/json");
-    check(answer && answer->status / 100 == 2, "post fault");
+    check(response && response->status / 100 == 2, "post fault");
 }
 
 } // namespace caperpath::tests
--- a/tests/router/site.hpp
+++ b/tests/router/site.hpp
@@ -19,14 +19,14 @@
 namespace caperpath::tests
 {
 
-/// What a test changes of a router's settings.
+/// Router settings that a test may override.
 struct router_limits
 {
     duration drain_bound{20'000};
 };
 
-/// A small site in one process, on free ports: the platform, two model engines,
-/// a plain service and routers, with one customer per budget policy.
+/// A small installation in one process, on free ports: the platform, two model
+/// engines, a plain service and routers, with one customer per budget policy.
 class site
 {
 public:
@@ -39,7 +39,7 @@
     site(site const&) = delete;
     site& operator=(site const&) = delete;
 
-    /// An engine whose tokens take 1 ms, so that tests are short.
+    /// Settings of an engine with 1 ms per token, to keep the tests short.
     static stand_in::engine_settings fast_engine();
 
     std::string router_address(std::size_t index) const;
@@ -47,45 +47,46 @@
     std::string service_address() const;
     std::string platform_address() const;
 
-    /// A customer's key; both budgets start with `paid` tokens.
+    /// The customers' keys; each budget starts with `paid` tokens.
     static constexpr token_count paid = 20'000;
-    std::string const& key() const;       ///< pays for each bill at once
+    std::string const& key() const;       ///< each bill is settled at once
     std::string const& other_key() const; ///< bills are settled later
 
-    /// Direct access to what the platform keeps.
+    /// Direct access to the platform's store.
     store::port const& store() const;
 
-    /// Every bill in the ledger, of all holders.
+    /// Returns the bills of all holders in the ledger.
     std::vector<budget::bill> ledger() const;
 
-    /// Blocks until the ledger holds `count` bills that cost something.
+    /// Blocks until the ledger holds at least `count` bills with a cost above
+    /// zero. Returns false if there are more, or on timeout.
     bool wait_for_bills(std::size_t count) const;
 
-    /// Ends a router by a planned stop.
+    /// Stops a router by a planned stop.
     router::stop_report stop_router(std::size_t index);
 
-    /// Nothing of this router reaches the platform from now on; others know
-    /// that it is dead once `prove_dead` was called.
+    /// Disconnects a router from the platform. The other routers consider it
+    /// dead once `prove_dead` was called.
     void crash_router(std::size_t index);
     void prove_dead(std::size_t index);
 
-    /// How often the service ran the request with this id, or any.
+    /// Returns how often the service ran the request with this id, or any.
     std::int64_t executions(std::string const& id) const;
     std::int64_t executions() const;
 
-    /// An engine's own counts, as its `/stats` gives them.
+    /// Returns an engine's counters from its `/stats`.
     nlohmann::json engine_stats(std::size_t index) const;
 
-    /// Ends the service for good: connections to it are refused.
+    /// Stops the service permanently: connections to it are refused.
     void stop_service();
 
-    /// Orders an engine to leave or to stay.
-    void order_engine(std::size_t index, std::string const& order);
+    /// Sends a command to an engine, such as to drain.
+    void command_engine(std::size_t index, std::string const& command);
 
-    /// Ends the faults of a stand-in.
+    /// Clears the faults of an emulator.
     static void clear_faults(std::string const& address);
 
-    /// Posts a fault to a stand-in's fault interface.
+    /// Posts a fault to an emulator's fault interface.
     static void post_fault(std::string const& address,
                            nlohmann::json const& fault);
 
--- a/tests/router/stream_test.cpp
+++ b/tests/router/stream_test.cpp
@@ -13,13 +13,13 @@
 class stream_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(stream_test);
-    CPPUNIT_TEST(a_broken_engine_costs_the_caller_no_token);
-    CPPUNIT_TEST(a_stream_that_cannot_go_on_ends_in_an_error);
-    CPPUNIT_TEST(a_caller_who_leaves_is_cancelled_and_billed);
-    CPPUNIT_TEST(a_leaving_engine_gets_no_new_work);
-    CPPUNIT_TEST(a_passed_deadline_is_told);
-    CPPUNIT_TEST(a_chat_without_any_answer_may_have_run);
-    CPPUNIT_TEST(an_answer_without_a_safe_bill_is_not_complete);
+    CPPUNIT_TEST(broken_engine_loses_no_token);
+    CPPUNIT_TEST(stream_that_cannot_resume_ends_in_an_error);
+    CPPUNIT_TEST(disconnected_caller_is_cancelled_and_billed);
+    CPPUNIT_TEST(draining_engine_gets_no_new_requests);
+    CPPUNIT_TEST(passed_deadline_is_reported);
+    CPPUNIT_TEST(chat_without_a_response_may_have_run);
+    CPPUNIT_TEST(response_without_a_durable_bill_is_not_complete);
     CPPUNIT_TEST_SUITE_END();
 
     static token_count total(site const& here)
@@ -32,10 +32,10 @@
         return sum;
     }
 
-    // An engine sends a chunk of another request, sends one twice, leaves one
-    // out, breaks the connection or goes silent on it. A family would read
-    // somebody else's repair plan, or a plan with a hole in it.
-    void a_broken_engine_costs_the_caller_no_token()
+    // An engine sends a chunk of another request, sends one twice, skips one,
+    // breaks the connection or goes silent. Guards against foreign, duplicate
+    // or missing tokens in the caller's stream.
+    void broken_engine_loses_no_token()
     {
         for (std::string const kind : {"wrong_id", "repeat_chunk", "skip_chunk",
                                        "cut", "silent", "error", "outage"})
@@ -62,9 +62,9 @@
         }
     }
 
-    // Every engine breaks every stream. The caller has part of an answer and
-    // must not take it for the whole one.
-    void a_stream_that_cannot_go_on_ends_in_an_error()
+    // Every engine breaks every stream. Guards against an incomplete response
+    // that looks complete.
+    void stream_that_cannot_resume_ends_in_an_error()
     {
         site here;
         for (std::size_t i = 0; i < 2; ++i)
@@ -81,21 +81,21 @@
         CPPUNIT_ASSERT_EQUAL(whole.substr(0, got.text.size()), got.text);
     }
 
-    // A caller closes the window after a few tokens. Generated on to the end,
-    // the answer would take an engine's slot and the customer's tokens.
-    void a_caller_who_leaves_is_cancelled_and_billed()
+    // A caller disconnects after a few tokens. Guards against generating the
+    // rest, which would take an engine's slot and the customer's tokens.
+    void disconnected_caller_is_cancelled_and_billed()
     {
         auto engine = site::fast_engine();
         engine.token_time = {5};
         site here{1, engine};
         chat(here.router_address(0), here.key(), "all of it [tokens=800]",
-             {.stream = true, .leave_after = 10});
+             {.stream = true, .disconnect_after = 10});
         CPPUNIT_ASSERT(here.wait_for_bills(1));
         auto const bill = here.ledger().at(0);
         CPPUNIT_ASSERT(bill.completion_tokens >= 9);
         CPPUNIT_ASSERT(bill.completion_tokens < 800);
         int cancelled = 0;
-        for (int tries = 0; tries < 100 && cancelled == 0; ++tries)
+        for (int polls = 0; polls < 100 && cancelled == 0; ++polls)
         {
             std::this_thread::sleep_for(std::chrono::milliseconds{20});
             for (std::size_t i = 0; i < 2; ++i)
@@ -106,9 +106,9 @@
         CPPUNIT_ASSERT_EQUAL(1, cancelled);
     }
 
-    // An operator takes an engine out. Streams on it end whole; whatever it
-    // still got after that would be cut off when it goes.
-    void a_leaving_engine_gets_no_new_work()
+    // An operator drains an engine. Its streams complete; guards against new
+    // requests to it, which would be cut off when it stops.
+    void draining_engine_gets_no_new_requests()
     {
         auto engine = site::fast_engine();
         engine.token_time = {5};
@@ -130,11 +130,11 @@
         {
             return here.engine_stats(0)["runs"].size();
         };
-        for (int tries = 0; tries < 400 && runs() < 2; ++tries)
+        for (int polls = 0; polls < 400 && runs() < 2; ++polls)
         {
             std::this_thread::sleep_for(std::chrono::milliseconds{5});
         }
-        here.order_engine(0, "leave");
+        here.command_engine(0, "leave");
         auto const before = runs();
         for (int i = 0; i < 6; ++i)
         {
@@ -151,9 +151,9 @@
         }
     }
 
-    // Engines and the service take the request and say nothing. The caller
-    // hears when its time is over, not when a connection happens to break.
-    void a_passed_deadline_is_told()
+    // Engines and the service accept the request and do not respond. The caller
+    // gets an error at its deadline, not when a connection breaks.
+    void passed_deadline_is_reported()
     {
         site here{1, site::fast_engine(), {600}};
         for (std::size_t i = 0; i < 2; ++i)
@@ -173,9 +173,9 @@
         CPPUNIT_ASSERT(here.ledger().empty() || total(here) == 0);
     }
 
-    // Guards against "not-run" for a chat that an engine has and has not
-    // answered yet.
-    void a_chat_without_any_answer_may_have_run()
+    // Guards against "not-run" for a chat that an engine has received and not
+    // yet responded to.
+    void chat_without_a_response_may_have_run()
     {
         site here{1, site::fast_engine(), {600}};
         for (std::size_t i = 0; i < 2; ++i)
@@ -189,10 +189,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"unknown"}, got.outcome);
     }
 
-    // The store goes down while an agency reads its answer. If this router died
-    // before the store came back, nobody would know of the bill, and the agency
-    // could have the same tokens again: more than it paid for.
-    void an_answer_without_a_safe_bill_is_not_complete()
+    // The store goes down while a response is sent. If the router died before
+    // the store recovered, the bill would be lost and the customer could spend
+    // the same tokens again: more than it paid for.
+    void response_without_a_durable_bill_is_not_complete()
     {
         site here;
         auto const router = here.router_address(0);
--- a/tests/router/whole_path_test.cpp
+++ b/tests/router/whole_path_test.cpp
@@ -11,13 +11,13 @@
 class whole_path_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(whole_path_test);
-    CPPUNIT_TEST(answers_whole_and_streamed_and_bills_once);
-    CPPUNIT_TEST(runs_out_of_budget);
-    CPPUNIT_TEST(a_bad_request_names_its_field_and_costs_nothing);
-    CPPUNIT_TEST(a_planned_stop_leaves_nothing_behind);
+    CPPUNIT_TEST(complete_and_streamed_responses_are_billed_once);
+    CPPUNIT_TEST(exhausted_budget_rejects_requests);
+    CPPUNIT_TEST(invalid_request_names_its_field_and_costs_nothing);
+    CPPUNIT_TEST(planned_stop_returns_shares);
     CPPUNIT_TEST_SUITE_END();
 
-    void answers_whole_and_streamed_and_bills_once()
+    void complete_and_streamed_responses_are_billed_once()
     {
         site here;
         auto const router = here.router_address(0);
@@ -35,10 +35,10 @@
         CPPUNIT_ASSERT_EQUAL(expected_text(prompt), streamed.text);
         CPPUNIT_ASSERT(streamed.done);
 
-        auto const cut =
+        auto const truncated =
             chat(router, here.key(), prompt, {.stream = true, .max_tokens = 5});
-        CPPUNIT_ASSERT_EQUAL(expected_text(prompt, 5), cut.text);
-        CPPUNIT_ASSERT_EQUAL(std::string{"length"}, cut.finish_reason);
+        CPPUNIT_ASSERT_EQUAL(expected_text(prompt, 5), truncated.text);
+        CPPUNIT_ASSERT_EQUAL(std::string{"length"}, truncated.finish_reason);
 
         CPPUNIT_ASSERT(here.wait_for_bills(3));
         auto const prompt_tokens = stand_in::prompt_tokens(prompt + "\n");
@@ -50,12 +50,12 @@
         CPPUNIT_ASSERT_EQUAL(3 * prompt_tokens + 3 * (20 + 20 + 5), total);
     }
 
-    void runs_out_of_budget()
+    void exhausted_budget_rejects_requests()
     {
         site here;
         int completed = 0;
         reply last;
-        // Each costs 1,024 * 3 in the worst case and 3,000 in fact.
+        // Each costs 1,024 * 3 in the worst case and actually 3,000.
         for (int i = 0; i < 8; ++i)
         {
             last = chat(here.router_address(0), here.key(),
@@ -72,11 +72,11 @@
             total += bill.tokens;
         }
         CPPUNIT_ASSERT(total <= site::paid);
-        // No request was refused that the budget would have covered.
+        // No request that the budget covers was rejected.
         CPPUNIT_ASSERT_EQUAL(6, completed);
     }
 
-    void a_bad_request_names_its_field_and_costs_nothing()
+    void invalid_request_names_its_field_and_costs_nothing()
     {
         site here;
         struct bad
@@ -114,8 +114,9 @@
         auto const large = post_chat(here.router_address(0), here.key(),
                                      std::string(5'000'000, 'x'));
         CPPUNIT_ASSERT_EQUAL(413, large.status);
-        auto const stranger = chat(here.router_address(0), "cp_agency_x", "x");
-        CPPUNIT_ASSERT_EQUAL(401, stranger.status);
+        auto const unauthenticated =
+            chat(here.router_address(0), "cp_agency_x", "x");
+        CPPUNIT_ASSERT_EQUAL(401, unauthenticated.status);
         auto const unknown = call(here.router_address(0), here.key(), "GET",
                                   "/services/nothing/x");
         CPPUNIT_ASSERT_EQUAL(404, unknown.status);
@@ -124,10 +125,10 @@
         CPPUNIT_ASSERT(here.wait_for_bills(1));
     }
 
-    // An operator stops a router for good. What it drew of a budget and did not
-    // spend must be there for the others, or customers are refused for tokens
-    // that they paid for.
-    void a_planned_stop_leaves_nothing_behind()
+    // An operator stops a router permanently. Guards against unspent tokens
+    // that it does not return: requests that the customer paid for would be
+    // rejected.
+    void planned_stop_returns_shares()
     {
         site here{2};
         chat(here.router_address(0), here.other_key(), "[tokens=10]");
