--- a/include/caperpath/observe/log.hpp
+++ b/include/caperpath/observe/log.hpp
@@ -9,23 +9,23 @@
 namespace caperpath::observe
 {
 
-/// What every log line is about; empty members are left out of the line. The
-/// views need to live only as long as the call that takes them.
+/// Fields common to all log lines; empty members are omitted. The views need to
+/// live only until the call returns.
 struct log_context
 {
     std::string_view step{};    ///< for example "dispatch"
     std::string_view request{}; ///< request id
-    std::string_view peer{};    ///< address or name of the other side
+    std::string_view peer{};    ///< address or name of the peer
 };
 
-/// A place in the source. `std::source_location` would do, but clang-tidy 14
-/// cannot read it in this standard library. Immutable value.
+/// A source location. Replaces `std::source_location`, which clang-tidy 14
+/// cannot parse in this standard library. Immutable value.
 struct code_place
 {
     char const* file{};
     int line{};
 
-    /// As a default argument: the place of the call.
+    /// Returns the location of the call when used as a default argument.
     static constexpr code_place current(char const* file = __builtin_FILE(),
                                         int line = __builtin_LINE())
     {
@@ -33,22 +33,24 @@
     }
 };
 
-/// Sends the log to standard error: VMs have no disk. Call once in `main`,
-/// before any other thread starts. @pre `program` outlives the process.
+/// Sends the log to standard error, because VMs have no disk. Call once in
+/// `main`, before any other thread starts.
+/// @pre `program` stays valid until the process ends.
 void start_log(char const* program);
 
-/// Thread safe. `step=.. request=.. peer=.. detail=..`, always one line.
+/// Returns `step=.. request=.. peer=.. detail=..`, always one line. Thread
+/// safe.
 std::string format_line(log_context const& context, std::string_view detail);
 
-/// Thread safe. `value` as it stands after "key=": bare when it is made of
-/// harmless characters only, else quoted with escapes.
+/// Returns `value` as written after "key=": unquoted if it consists of safe
+/// characters only, else quoted and escaped. Thread safe.
 std::string escape_value(std::string_view value);
 
-/// Thread safe. The inverse of `escape_value`, for tools that read logs.
-/// @pre `text` was made by `escape_value`.
+/// Inverse of `escape_value`, for tools that read logs. Thread safe.
+/// @pre `text` was returned by `escape_value`.
 std::string unescape_value(std::string_view text);
 
-/// Thread safe. Each writes one line at its severity.
+/// Each writes one line at its severity. Thread safe.
 void log_info(log_context const& context, std::string_view detail,
               code_place at = code_place::current());
 void log_warning(log_context const& context, std::string_view detail,
@@ -56,7 +58,7 @@
 void log_error(log_context const& context, std::string_view detail,
                code_place at = code_place::current());
 
-/// Thread safe. A warning with the error's own step, peer, kind and detail.
+/// Logs a warning with the step, peer, kind and detail of `fault`. Thread safe.
 void log_fault(std::string_view request, error const& fault,
                code_place at = code_place::current());
 
--- a/include/caperpath/observe/metrics.hpp
+++ b/include/caperpath/observe/metrics.hpp
@@ -13,10 +13,10 @@
 namespace caperpath::observe
 {
 
-/// The router's metrics over a registry of its own. Labels are bounded: none
+/// The router's metrics, in a separate registry. Label values are bounded: none
 /// names a customer, a budget or a request, so memory does not grow with
-/// traffic. Every member is thread safe and none blocks on anything but short
-/// locks. Spans of time are given in microseconds and shown in seconds.
+/// traffic. All members are thread safe and block only on short locks.
+/// Durations are passed in microseconds and exported in seconds.
 class metrics
 {
 public:
@@ -26,46 +26,46 @@
     metrics(metrics const&) = delete;
     metrics& operator=(metrics const&) = delete;
 
-    /// One answered request; `status` is the HTTP status code.
+    /// Counts one request with a response; `status` is the HTTP status code.
     void request_finished(request::outcome kind, int status);
 
-    /// A refusal by its stable code. Codes beyond `max_refusal_codes` distinct
-    /// ones are counted as "other".
+    /// Counts a rejection by its stable code. After `max_refusal_codes`
+    /// distinct codes, new ones are counted as "other".
     void refused(std::string_view code);
 
-    /// An open answer stream. @pre each open is closed once.
+    /// Tracks open response streams. @pre each opened stream is closed once.
     void stream_opened();
     void stream_closed();
 
-    /// From the request's arrival to its first token.
+    /// Records the time from a request's arrival to its first token.
     void first_token(std::int64_t microseconds);
 
-    /// Between two tokens of one stream.
+    /// Records the time between two tokens of one stream.
     void token_gap(std::int64_t microseconds);
 
-    /// How long a reservation took.
+    /// Records the duration of a reservation.
     void reserve_wait(std::int64_t microseconds);
 
-    /// How safe a bill was when its request finished.
+    /// Counts a bill by its durability when its request finished.
     void bill_finished(budget::bill_state state);
 
-    /// A table write, with what became known of it.
+    /// Counts a table write by its outcome.
     void table_write(store::commit_outcome outcome);
     void table_read(bool succeeded);
 
-    /// A request sent to another backend server after the first failed.
+    /// Counts a request sent to another backend server after the first failed.
     void retried();
 
-    /// The version of the configuration in force.
+    /// Sets the version of the active configuration.
     void config_version(std::uint64_t version);
 
-    /// How many backend servers are marked as leaving.
+    /// Sets the number of draining backend servers.
     void backend_servers_leaving(std::size_t count);
 
-    /// The total so far, as the span sink counts it; a smaller one is ignored.
+    /// Sets the span sink's total of dropped spans; a smaller total is ignored.
     void spans_dropped(std::uint64_t total);
 
-    /// The registry in Prometheus' text format.
+    /// Returns the registry in Prometheus' text format.
     std::string render() const;
 
     static constexpr std::size_t max_refusal_codes{32};
--- a/include/caperpath/observe/span_sink.hpp
+++ b/include/caperpath/observe/span_sink.hpp
@@ -17,43 +17,43 @@
 namespace caperpath::observe
 {
 
-/// Thread safe. One span as one line of OTLP's JSON form, without the line end.
-/// Bytes that are not UTF-8 are replaced.
+/// Returns one span as a line of OTLP JSON, without the line end. Bytes that
+/// are not UTF-8 are replaced. Thread safe.
 std::string to_json_line(span const& value);
 
-/// Thread safe. The span of a line made by `to_json_line`; `invalid` for any
-/// other text.
+/// Parses a line written by `to_json_line`; fails with `invalid` for any other
+/// text. Thread safe.
 result<span> parse_json_line(std::string_view line);
 
-/// Where finished spans go. A struct of functions, each thread safe; copies
-/// share one queue.
+/// Receives finished spans. All functions are thread safe; copies share one
+/// queue.
 struct span_sink
 {
-    /// Hands a span over and returns at once; never waits for a file. When the
-    /// queue is full the span is dropped and counted.
+    /// Queues a span without waiting for a file. If the queue is full, the
+    /// span is dropped and counted.
     std::function<void(span)> record;
 
-    /// Spans dropped since the start.
+    /// Returns the number of spans dropped since the start.
     std::function<std::uint64_t()> dropped;
 
-    /// Blocks until what was recorded before is written.
+    /// Blocks until all spans recorded before the call are written.
     std::function<void()> flush;
 };
 
-/// The newest spans, in memory. Thread safe.
+/// Keeps the newest spans in memory. Thread safe.
 class span_buffer
 {
 public:
     /// @pre `capacity` > 0.
     explicit span_buffer(std::size_t capacity);
 
-    /// Adds a span; the oldest one goes when the buffer is full.
+    /// Adds a span; drops the oldest one if the buffer is full.
     void add(span value);
 
-    /// Oldest first.
+    /// Returns the kept spans, oldest first.
     std::vector<span> recent() const;
 
-    /// Spans that had to go.
+    /// Returns the number of spans dropped because the buffer was full.
     std::uint64_t dropped() const;
 
 private:
@@ -63,15 +63,16 @@
     std::uint64_t drop_count{0};
 };
 
-/// A sink that keeps spans in `buffer`. @pre `buffer` is not null.
+/// Returns a sink that keeps spans in `buffer`. @pre `buffer` is not null.
 span_sink make_memory_sink(std::shared_ptr<span_buffer> const& buffer);
 
-/// A sink that drops everything without counting, for when tracing is off.
+/// Returns a sink that discards spans without counting them; used when tracing
+/// is off.
 span_sink make_null_sink();
 
-/// A sink that appends lines to `file` from a thread of its own, which ends
-/// after the last copy of the sink is gone and the queue is written.
-/// `unavailable` when the file cannot be opened. @pre `max_queued` > 0.
+/// Returns a sink that appends lines to `file` on a separate thread, which ends
+/// after the last copy of the sink is destroyed and the queue is written. Fails
+/// with `unavailable` if the file cannot be opened. @pre `max_queued` > 0.
 result<span_sink> make_file_sink(std::string const& file,
                                  std::size_t max_queued);
 
--- a/include/caperpath/observe/stopwatch.hpp
+++ b/include/caperpath/observe/stopwatch.hpp
@@ -7,8 +7,8 @@
 namespace caperpath::observe
 {
 
-/// Measures what milliseconds are too coarse for: a token's way through the
-/// router takes less than one. Starts when it is made. Immutable; thread safe.
+/// Measures durations in microseconds: the router forwards a token in less than
+/// a millisecond. Starts on construction. Immutable; thread safe.
 class stopwatch
 {
 public:
@@ -16,7 +16,7 @@
     {
     }
 
-    /// Microseconds since it was made, by a monotonic clock.
+    /// Returns the microseconds since construction, by a monotonic clock.
     std::int64_t elapsed_us() const
     {
         auto const span = std::chrono::steady_clock::now() - this->start;
--- a/include/caperpath/observe/trace.hpp
+++ b/include/caperpath/observe/trace.hpp
@@ -33,17 +33,17 @@
     friend auto operator<=>(span_id const&, span_id const&) = default;
 };
 
-/// Thread safe. The hexadecimal form.
+/// Returns the hexadecimal form. Thread safe.
 std::string to_string(trace_id id);
 std::string to_string(span_id id);
 
-/// Thread safe. Nothing unless `text` is exactly the hexadecimal form; an all
-/// zero id is read as such.
+/// Returns nothing unless `text` is exactly the hexadecimal form. Accepts the
+/// all-zero id. Thread safe.
 std::optional<trace_id> parse_trace_id(std::string_view text);
 std::optional<span_id> parse_span_id(std::string_view text);
 
-/// What goes from hop to hop: the trace, and the span that the next hop's span
-/// is a child of. Immutable value.
+/// Context passed from hop to hop: the trace, and the parent of the next hop's
+/// span. Immutable value.
 struct trace_context
 {
     trace_id trace;
@@ -54,22 +54,23 @@
                             trace_context const&) = default;
 };
 
-/// Thread safe. The W3C header value, version 00.
+/// Returns the W3C header value, version 00. Thread safe.
 /// @pre neither id is all zero.
 std::string format_traceparent(trace_context const& context);
 
-/// Thread safe. Nothing when `header` is malformed by W3C Trace Context; of a
-/// version above 00 the part that 00 defines is read. Never throws.
+/// Returns nothing if `header` is malformed by W3C Trace Context. Reads only
+/// the part that version 00 defines from later versions. Never throws. Thread
+/// safe.
 std::optional<trace_context> parse_traceparent(std::string_view header);
 
-/// Random ids from a seed, so that a test sees the same ids every run. Thread
+/// Generates random ids from a seed, so that tests are reproducible. Thread
 /// safe.
 class id_generator
 {
 public:
     explicit id_generator(std::uint64_t seed);
 
-    /// Never all zero.
+    /// Neither function returns an all-zero id.
     trace_id next_trace_id();
     span_id next_span_id();
 
@@ -89,45 +90,45 @@
                             span_attribute const&) = default;
 };
 
-/// Attribute keys that the tools know.
+/// Attribute keys that the tools interpret.
 inline constexpr char request_attribute[] = "request.id";
 inline constexpr char peer_attribute[] = "peer.address";
 inline constexpr char vm_attribute[] = "vm";
 
-/// One timed step of a request. Immutable value; make one with `span_builder`.
+/// One timed step of a request. Immutable value; create with `span_builder`.
 struct span
 {
     trace_id trace;
     span_id id;
-    span_id parent; ///< zero: the trace began here
+    span_id parent; ///< zero: root of the trace
     std::string name;
     instant start;              ///< wall clock
     std::int64_t duration_us{}; ///< microseconds, by a monotonic clock
     std::vector<span_attribute> attributes;
 
-    /// Wall time at which it ended, rounded down.
+    /// Returns the wall time of the end, rounded down.
     instant end() const;
 
-    /// The value of attribute `key`, or empty.
+    /// Returns the value of attribute `key`, or an empty view.
     std::string_view attribute(std::string_view key) const;
 
     friend auto operator<=>(span const&, span const&) = default;
 };
 
-/// Opens a span when it is made and gives the finished value. Not thread safe.
+/// Starts a span on construction; `finish` returns it. Not thread safe.
 class span_builder
 {
 public:
-    /// A child of `parent`. @pre `wall` is a wall clock.
+    /// Starts a child of `parent`. @pre `wall` is a wall clock.
     span_builder(std::string name, trace_context const& parent,
                  id_generator& ids, clock const& wall);
 
-    /// The context to send to the next hop and to open child spans with.
+    /// Returns the context for the next hop and for child spans.
     trace_context context() const;
 
     span_builder& with_attribute(std::string key, std::string value);
 
-    /// The span, ended now. Call once.
+    /// Ends the span and returns it. Call once.
     span finish();
 
 private:
@@ -136,8 +137,8 @@
     stopwatch watch;
 };
 
-/// The caller's trace when `header` is well formed, else a new trace without a
-/// parent. Thread safe.
+/// Returns the caller's trace if `header` is well formed, else a new trace
+/// without a parent. Thread safe.
 trace_context continue_trace(std::string_view header, id_generator& ids);
 
 } // namespace caperpath::observe
--- a/include/caperpath/observe/trace_tree.hpp
+++ b/include/caperpath/observe/trace_tree.hpp
@@ -10,27 +10,28 @@
 namespace caperpath::observe
 {
 
-/// A span with the spans it caused, by start time. Immutable value.
+/// A span with its child spans, by start time. Immutable value.
 struct trace_node
 {
     span value;
-    bool parent_missing{}; ///< it names a parent that is not among the spans
+    bool parent_missing{}; ///< its parent is not among the spans
     std::vector<trace_node> children;
 
     friend bool operator==(trace_node const&, trace_node const&) = default;
 };
 
-/// Thread safe. The spans of one request: those that carry its id and all that
-/// descend from them, in whatever order they were written. Several roots when
-/// the request was sent more than once or spans are missing. A span that was
-/// read twice stands once; spans that name each other as parent stand too.
+/// Returns the spans that carry the request's id and all their descendants, for
+/// spans in any order. There are several roots if the request was sent more
+/// than once or spans are missing. Duplicate spans appear once; spans that name
+/// each other as parent are included. Thread safe.
 std::vector<trace_node> build_tree(std::vector<span> spans,
                                    std::string_view request);
 
-/// Thread safe. Indented lines: name, peer, offset and length in milliseconds.
+/// Returns indented lines: name, peer, offset and duration in milliseconds.
+/// Thread safe.
 std::string to_text(std::vector<trace_node> const& roots);
 
-/// Thread safe. The same as JSON text.
+/// Returns the same as JSON text. Thread safe.
 std::string to_json(std::vector<trace_node> const& roots);
 
 } // namespace caperpath::observe
--- a/src/http/cut_connection.cpp
+++ b/src/http/cut_connection.cpp
@@ -12,7 +12,7 @@
 
 using socket_name = int (*)(int, sockaddr*, socklen_t*);
 
-// The port at one end of `socket`, or -1 when it is no IPv4 socket.
+// Returns the port at one end of `socket`, or -1 if it is not an IPv4 socket.
 int port_of(int socket, socket_name name)
 {
     sockaddr_in address{};
@@ -27,7 +27,8 @@
 
 } // namespace
 
-// httplib gives a handler the two ports of its connection but not the socket.
+// httplib exposes the two ports of a connection to its handler, but not the
+// socket, so the socket is found by its ports.
 void cut_connection(httplib::Request const& request)
 {
     for (auto const& entry :
--- a/src/http/cut_connection.hpp
+++ b/src/http/cut_connection.hpp
@@ -6,9 +6,10 @@
 namespace caperpath::http
 {
 
-/// Shuts down the connection that `request` came in on, so that its sender
-/// gets no byte of an answer. For stand-ins that lose answers. Thread safe.
-/// @pre called inside the handler that was given `request`.
+/// Shuts down the connection on which `request` arrived, so that its sender
+/// receives no byte of a response. Emulators use it to lose responses. Thread
+/// safe.
+/// @pre called inside the handler of `request`.
 void cut_connection(httplib::Request const& request);
 
 } // namespace caperpath::http
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-// A caller that reads slowly must not make the router hold an answer without
-// bound; the engine's connection is read no further until it has caught up.
-constexpr std::size_t most_queued_bytes = 1024 * 1024;
-// Silence is judged by the one who waits; this only ends forgotten reads.
+// Bounds the memory for a slow caller: reading from the engine pauses while
+// this many bytes are queued.
+constexpr std::size_t max_queued_bytes = 1024 * 1024;
+// The thread in `wait` detects a silent peer; this only ends abandoned reads.
 constexpr int read_timeout_seconds = 600;
-constexpr std::size_t most_idle_per_address = 512;
+constexpr std::size_t max_idle_per_address = 512;
 
 std::string lower(std::string text)
 {
@@ -40,19 +40,19 @@
 
 httplib::Request to_httplib(exchange_request const& request)
 {
-    httplib::Request made;
-    made.method = request.method;
-    made.path = request.path;
-    made.body = request.body;
+    httplib::Request converted;
+    converted.method = request.method;
+    converted.path = request.path;
+    converted.body = request.body;
     for (auto const& [name, value] : request.headers)
     {
-        made.set_header(name, value);
+        converted.set_header(name, value);
     }
     if (!request.content_type.empty())
     {
-        made.set_header("Content-Type", request.content_type);
+        converted.set_header("Content-Type", request.content_type);
     }
-    return made;
+    return converted;
 }
 
 bool provably_unsent(httplib::Error error)
@@ -93,7 +93,7 @@
     client->set_keep_alive(true);
     client->set_tcp_nodelay(true);
     client->set_decompress(false);
-    // The path is passed on as the caller encoded it.
+    // Forwards the path as the caller encoded it.
     client->set_url_encode(false);
     return client;
 }
@@ -103,7 +103,7 @@
 {
     std::lock_guard const lock{this->mutex};
     auto& kept = this->idle[address];
-    if (kept.size() < most_idle_per_address)
+    if (kept.size() < max_idle_per_address)
     {
         kept.push_back(std::move(client));
     }
@@ -124,10 +124,10 @@
 std::optional<exchange_event> exchange::wait(duration bound)
 {
     std::unique_lock lock{this->mutex};
-    bool const came =
+    bool const arrived =
         this->changed.wait_for(lock, std::chrono::milliseconds{bound.ms},
                                [this] { return !this->events.empty(); });
-    if (!came)
+    if (!arrived)
     {
         return std::nullopt;
     }
@@ -154,7 +154,7 @@
     std::unique_lock lock{this->mutex};
     this->changed.wait(
         lock, [this]
-        { return this->cancelled || this->queued_bytes < most_queued_bytes; });
+        { return this->cancelled || this->queued_bytes < max_queued_bytes; });
     if (this->cancelled)
     {
         return false;
@@ -195,12 +195,12 @@
     };
     httplib::Response response;
     auto error = httplib::Error::Success;
-    bool const whole = client->send(wire, response, error);
+    bool const complete = client->send(wire, response, error);
     {
         std::lock_guard const lock{this->mutex};
         this->running = nullptr;
     }
-    if (whole)
+    if (complete)
     {
         connections.give_back(address, std::move(client));
         this->push({exchange_event::kind::end, 0, {}, "", true, ""});
--- a/src/http/exchange.hpp
+++ b/src/http/exchange.hpp
@@ -35,9 +35,9 @@
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
     std::string content_type;
-    /// A reused connection may be closed by the peer at any moment, and then
-    /// nobody knows whether the request arrived. A call that may not be
-    /// repeated asks for a fresh one, where only a failed connect is "unsent".
+    /// The peer may close a reused connection at any time, and then it is
+    /// unknown whether the request arrived. Set it for a call that must not be
+    /// retried: on a new connection, only a failed connect counts as "unsent".
     bool fresh_connection{false};
 
     friend bool operator==(exchange_request const&,
@@ -48,9 +48,9 @@
 {
     enum class kind
     {
-        head,  ///< status and headers came
-        data,  ///< a piece of the body
-        end,   ///< the whole body came
+        head,  ///< status and headers received
+        data,  ///< part of the body
+        end,   ///< body complete
         failed ///< the connection broke; see `sent`
     };
 
@@ -65,9 +65,9 @@
                            exchange_event const&) = default;
 };
 
-/// Keeps idle connections by address. A connection comes back only when its
-/// exchange ended cleanly: the rest of an answer that was given up on would
-/// otherwise be read as the start of somebody else's. Thread safe.
+/// Keeps idle connections by address. Only a connection whose exchange
+/// completed may be returned: the rest of an abandoned response would be read
+/// as the start of the next one. Thread safe.
 class connection_pool
 {
 public:
@@ -88,9 +88,10 @@
     std::map<std::string, std::vector<std::unique_ptr<httplib::Client>>> idle;
 };
 
-/// One request and the events of its answer. The request runs on a thread of
-/// the pool, so that the one who waits can give up on a silent connection at
-/// any moment. `wait` and `cancel` are for one thread; the pools outlive it.
+/// One request and the events of its response. The request runs on a thread of
+/// the pool, so that the waiting thread can abandon a silent connection at any
+/// time. Call `wait` and `cancel` from one thread only.
+/// @pre the pools outlive the exchange.
 class exchange
 {
 public:
@@ -99,11 +100,11 @@
                                            std::string address,
                                            exchange_request request);
 
-    /// The next event, or nothing after `bound` without one. After `end` or
-    /// `failed` nothing comes any more.
+    /// Returns the next event, or nothing if none arrives within `bound`.
+    /// `end` or `failed` is the last event.
     std::optional<exchange_event> wait(duration bound);
 
-    /// Closes the connection; no event is given any more. Idempotent.
+    /// Closes the connection; no further event is added. Idempotent.
     void cancel();
 
 private:
@@ -120,7 +121,7 @@
     httplib::Client* running{nullptr}; ///< under `mutex`, for `cancel`
 };
 
-/// Thread safe. The header's value or empty.
+/// Returns the value of the header, or an empty string. Thread safe.
 std::string header_value(headers const& all, std::string const& name);
 
 } // namespace caperpath::http
--- a/src/http/fault_plan.cpp
+++ b/src/http/fault_plan.cpp
@@ -47,11 +47,11 @@
 {
 }
 
-std::vector<config::fault> fault_plan::add(nlohmann::json const& wanted,
+std::vector<config::fault> fault_plan::add(nlohmann::json const& description,
                                            instant now)
 {
     std::vector<config::fault> faults;
-    config::json_reader reader{wanted, "", faults};
+    config::json_reader reader{description, "", faults};
     auto steps = this->known.steps;
     steps.emplace_back(any_step);
     rule made;
@@ -83,7 +83,7 @@
     return faults;
 }
 
-bool fault_plan::strikes(rule& candidate, std::string const& step,
+bool fault_plan::applies(rule& candidate, std::string const& step,
                          instant now) const
 {
     if (candidate.step != any_step && candidate.step != step)
@@ -107,7 +107,7 @@
     std::lock_guard const lock{this->mutex};
     for (auto& candidate : this->rules)
     {
-        if (this->strikes(candidate, step, now))
+        if (this->applies(candidate, step, now))
         {
             --candidate.left;
             return candidate.effect;
--- a/src/http/fault_plan.hpp
+++ b/src/http/fault_plan.hpp
@@ -16,17 +16,18 @@
 namespace caperpath::http
 {
 
-/// What goes wrong with one call. Immutable value.
+/// The fault to inject into one call. Immutable value.
 struct planned_fault
 {
     std::string kind; ///< one of the plan's kinds, "outage" for example
-    duration span{};  ///< of a delay, an outage or a lag
+    duration span{};  ///< duration of a delay, outage or lag
 
     friend bool operator==(planned_fault const&,
                            planned_fault const&) = default;
 };
 
-/// What a stand-in's `POST /faults` may ask for. Immutable value.
+/// Steps and kinds that `POST /faults` of an emulator accepts. Immutable
+/// value.
 struct fault_vocabulary
 {
     std::vector<std::string> steps; ///< "any" is always allowed too
@@ -36,20 +37,22 @@
                            fault_vocabulary const&) = default;
 };
 
-/// The faults that a stand-in was asked to show, in the order they came. An
-/// "outage" strikes every call for `ms` from when it was planned; any other
-/// fault strikes `count` calls. With a probability below 100 %, the seed
-/// decides which calls it strikes, the same ones in every run. Thread safe.
+/// The faults that an emulator injects, in the order they were added. An
+/// "outage" affects every call for `ms` after it was added; any other fault
+/// affects `count` calls. With a probability below 100 %, the seed determines
+/// which calls are affected, the same ones in every run. Thread safe.
 class fault_plan
 {
 public:
     explicit fault_plan(fault_vocabulary known);
 
-    /// Adds `{"step","kind","count","ms","probability_percent","seed"}`, or
-    /// returns what is wrong with it and adds nothing.
-    std::vector<config::fault> add(nlohmann::json const& wanted, instant now);
+    /// Adds `{"step","kind","count","ms","probability_percent","seed"}`. If it
+    /// is invalid, returns every error and adds nothing.
+    std::vector<config::fault> add(nlohmann::json const& description,
+                                   instant now);
 
-    /// The first fault that strikes a call of `step`, which uses it up by one.
+    /// Returns the first fault that affects a call of `step`, and decrements
+    /// its count.
     std::optional<planned_fault> take(std::string const& step, instant now);
 
     void clear();
@@ -65,7 +68,7 @@
         std::optional<instant> until;
     };
 
-    bool strikes(rule& candidate, std::string const& step, instant now) const;
+    bool applies(rule& candidate, std::string const& step, instant now) const;
 
     fault_vocabulary const known;
     std::mutex mutex;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -16,9 +16,9 @@
 namespace
 {
 
-// cpp-httplib listens with a short backlog. When many callers connect at once
-// the kernel drops the rest, and they come back after a second: a caller sees a
-// first token that is late by just that.
+// cpp-httplib listens with a short backlog. If many callers connect at once,
+// the kernel drops the excess, and those callers retry after a second: their
+// first token is a second late.
 constexpr int listen_backlog = 1'024;
 
 class connection_queue : public httplib::TaskQueue
@@ -42,14 +42,14 @@
     worker_pool workers;
 };
 
-// Connections that are established and not accepted; 0 when unknown.
+// Returns the number of established connections not yet accepted; 0 if unknown.
 unsigned waiting_connections(int listener)
 {
     tcp_info info{};
     socklen_t size = sizeof(info);
     bool const known =
         getsockopt(listener, IPPROTO_TCP, TCP_INFO, &info, &size) == 0;
-    // Of a listening socket this is the length of its accept queue.
+    // For a listening socket, this is the length of its accept queue.
     return known ? info.tcpi_unacked : 0;
 }
 
@@ -67,10 +67,10 @@
     {
         return new connection_queue(max_threads);
     };
-    // cpp-httplib sets SO_REUSEPORT by default: two processes could listen on
-    // one port, each getting some of the callers, and neither would notice. A
-    // router that has bound its address takes that as proof that the process
-    // before it is dead, and takes back that one's share of the budgets.
+    // cpp-httplib sets SO_REUSEPORT by default, so two processes could listen
+    // on one port unnoticed, each receiving some of the callers. A router that
+    // has bound its address relies on this as proof that the previous process
+    // is dead, and takes over that process's shares of the budgets.
     this->set_socket_options(
         [](socket_t socket)
         {
@@ -133,42 +133,41 @@
         return;
     }
     this->finishing = true;
-    // cpp-httplib's own `stop` also makes it leave out every body that is not
-    // begun yet. Ending only the accept loop lets open requests get theirs.
+    // cpp-httplib's `stop` also omits every body that has not been started.
+    // Ending only the accept loop lets open requests receive theirs.
     this->end_accepting();
     this->acceptor.join();
 }
 
-// Closing a listening socket resets the connections that were established and
-// not accepted.
+// Closing a listening socket resets connections that are established but not
+// accepted, so those are accepted first.
 void server::end_accepting() const
 {
-    constexpr int most_looks = 500;
-    constexpr std::chrono::milliseconds between_looks{1};
-    for (int looks = 0;
-         looks < most_looks && waiting_connections(this->svr_sock_) > 0;
-         ++looks)
+    constexpr int max_polls = 500;
+    constexpr std::chrono::milliseconds poll_pause{1};
+    for (int polls = 0;
+         polls < max_polls && waiting_connections(this->svr_sock_) > 0; ++polls)
     {
-        std::this_thread::sleep_for(between_looks);
+        std::this_thread::sleep_for(poll_pause);
     }
     ::shutdown(this->svr_sock_, SHUT_RDWR);
 }
 
-// Waits for the next request on a connection that is kept; looks up now and
-// then, so that a stop does not wait out the whole time.
+// Waits for the next request on a kept connection. Polls the stop flag, so that
+// a stop does not wait for the whole keep-alive time.
 bool server::next_request(socket_t socket) const
 {
-    constexpr duration look{100};
+    constexpr duration poll_interval{100};
     for (duration waited; waited < this->options.keep_alive;
-         waited = waited + look)
+         waited = waited + poll_interval)
     {
-        if (wait_readable(socket, look))
+        if (wait_readable(socket, poll_interval))
         {
             return true;
         }
         if (this->finishing)
         {
-            // It may have come since.
+            // A request may have arrived since the last poll.
             return wait_readable(socket, {});
         }
     }
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -14,12 +14,12 @@
 namespace caperpath::http
 {
 
-/// Bounds that keep one sender from taking the others down.
+/// Limits that keep one sender from blocking the others.
 struct server_options
 {
-    std::size_t max_threads{1'200}; ///< one a connection; more connections wait
+    std::size_t max_threads{1'200}; ///< one per connection; further ones wait
     std::size_t max_body_bytes{4 * 1024 * 1024};
-    duration read_timeout{10'000}; ///< a sender slower than this is dropped
+    duration read_timeout{10'000}; ///< a slower sender is disconnected
     duration write_timeout{10'000};
     duration keep_alive{5'000};
 
@@ -27,9 +27,9 @@
                            server_options const&) = default;
 };
 
-/// cpp-httplib's server with a listen backlog that a burst of callers fits in
-/// and one thread a connection, made when needed. Register handlers first,
-/// then `start`. The handlers are called from many threads at once.
+/// cpp-httplib's server with a listen backlog large enough for a burst of
+/// callers and one thread per connection, created on demand. Register handlers
+/// before `start`. Handlers are called from many threads concurrently.
 class server : public httplib::Server
 {
 public:
@@ -39,18 +39,18 @@
     server(server const&) = delete;
     server& operator=(server const&) = delete;
 
-    /// Binds "IP:port" (port 0: any free one). Returns the port, or -1 when
-    /// the address cannot be bound. Callers wait until `serve`.
+    /// Binds "IP:port" (port 0: any free one). Returns the port, or -1 if the
+    /// address cannot be bound. Connections wait in the backlog until `serve`.
     int bind(std::string const& address);
 
-    /// Serves on a thread of its own. @pre `bind` gave a port
+    /// Serves on a separate thread. @pre `bind` returned a port.
     void serve();
 
-    /// `bind`, then `serve` if that gave a port.
+    /// Calls `bind`, then `serve` if `bind` returned a port.
     int start(std::string const& address);
 
-    /// Accepts what is established and no more, waits for the running handlers
-    /// and joins. Idempotent.
+    /// Accepts the connections already established but no new ones, waits for
+    /// the running handlers and joins the thread. Idempotent.
     void finish();
 
 private:
@@ -63,9 +63,9 @@
     std::atomic<bool> finishing{false};
 };
 
-/// Sets a whole body. cpp-httplib would compress JSON for any caller that
-/// accepts it, while the others wait; a body from a provider it leaves
-/// alone. Thread safe.
+/// Sets a complete body through a content provider, which cpp-httplib does not
+/// compress. It would otherwise compress JSON for any caller that accepts it,
+/// while other callers wait. Thread safe.
 void set_body(httplib::Response& response, std::string body,
               std::string const& content_type);
 
--- a/src/http/socket_stream.hpp
+++ b/src/http/socket_stream.hpp
@@ -13,18 +13,18 @@
 {
 
 /// A caller's connection as cpp-httplib reads and writes it. The library's own
-/// takes a caller that has closed only its sending side for one that has left:
-/// the work is done and billed, and the answer thrown away. Here a caller has
-/// left when a write fails. Used by one thread.
+/// stream treats a caller that closed only its sending side as disconnected:
+/// the work is done and billed, and the response is discarded. Here a caller
+/// counts as disconnected when a write fails. Not thread safe.
 class socket_stream : public httplib::Stream
 {
 public:
-    /// @pre `socket` is open and outlives the stream
+    /// @pre `socket` is open and outlives the stream.
     socket_stream(socket_t socket, duration read_timeout,
                   duration write_timeout);
 
-    /// True when bytes have been read from the socket and not taken yet: the
-    /// start of a request that came together with the one before it.
+    /// Returns true if bytes read from the socket have not been consumed: the
+    /// start of a request that arrived together with the previous one.
     bool has_buffered() const;
 
     bool is_readable() const override;
@@ -42,11 +42,11 @@
     duration read_timeout;
     duration write_timeout;
     std::array<char, buffer_size> buffer{};
-    std::size_t begin{0}; ///< of what is buffered
+    std::size_t begin{0}; ///< start of the unconsumed bytes
     std::size_t end{0};
 };
 
-/// True once `socket` can be read, or its end is there; false after `bound`.
+/// Returns true once `socket` is readable or at its end; false after `bound`.
 /// Thread safe.
 bool wait_readable(socket_t socket, duration bound);
 
--- a/src/http/worker_pool.hpp
+++ b/src/http/worker_pool.hpp
@@ -12,8 +12,9 @@
 namespace caperpath::http
 {
 
-/// Runs tasks on threads that are made when none is idle, up to a bound, and
-/// kept. A fixed pool of 1,200 would cost its stacks at the start. Thread safe.
+/// Runs tasks on threads that are created when none is idle, up to a maximum,
+/// and then kept. A fixed pool of 1,200 threads would allocate all stacks at
+/// the start. Thread safe.
 class worker_pool
 {
 public:
@@ -25,11 +26,11 @@
     worker_pool(worker_pool const&) = delete;
     worker_pool& operator=(worker_pool const&) = delete;
 
-    /// Waits in a queue when all threads are busy.
+    /// Queues `task`; it waits while all threads are busy.
     void enqueue(std::function<void()> task);
 
-    /// Runs what is queued and joins the threads. Idempotent; not to be called
-    /// from a task.
+    /// Runs the queued tasks and joins the threads. Idempotent.
+    /// @pre not called from a task.
     void shutdown();
 
 private:
--- a/src/observe/command_line.hpp
+++ b/src/observe/command_line.hpp
@@ -14,10 +14,10 @@
 namespace caperpath::observe
 {
 
-/// Exit code for a wrong command line or settings with a fault.
+/// Exit code for an invalid command line or invalid settings.
 constexpr int exit_bad_settings = 2;
 
-/// What `--help` and `--version` say of a program. Immutable value.
+/// Program name and purpose for `--help` and `--version`. Immutable value.
 struct program
 {
     std::string name;    ///< for example "caperpath-router"
@@ -26,22 +26,23 @@
     friend bool operator==(program const&, program const&) = default;
 };
 
-/// Reads settings out of a whole JSON document; adds every fault it finds.
+/// Reads settings from a complete JSON document; adds every fault it finds.
 template <class Settings>
 using settings_reader =
     std::function<Settings(nlohmann::json const&, std::vector<config::fault>&)>;
 
-/// Handles `--help --version --settings FILE --check`. Returns the exit code to
-/// end with, or nothing when `check` saw settings without a fault and the
-/// program is to run. Faults go to stderr, one `path: detail` a line. Call it
-/// from one thread, before any other is started.
+/// Handles `--help --version --settings FILE --check`. Returns the exit code,
+/// or nothing if `check` found no fault and the program should run. Writes
+/// faults to stderr, one `path: detail` per line. Call it before any other
+/// thread is started.
 std::optional<int> read_command_line(
     program const& self, int argc, char const* const* argv,
     std::function<void(nlohmann::json const&,
                        std::vector<config::fault>&)> const& check);
 
-/// The whole of a `main`: reads the command line and the settings, then calls
-/// `run` with them and returns its exit code. As `read_command_line` otherwise.
+/// Implements `main`: reads the command line and the settings, then calls `run`
+/// with the settings and returns its exit code. If `read_command_line` returns
+/// an exit code, returns that instead.
 template <class Settings, class Run>
 int run_program(program const& self, int argc, char const* const* argv,
                 settings_reader<Settings> const& read, Run run)
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -76,10 +76,9 @@
     google::InitGoogleLogging(program);
 }
 
-// A caller puts a line break or `request=` into a header that ends up in the
-// log, and a reader takes the forged line for one of the router's own. With
-// every byte outside printable ASCII and every quote escaped inside quotes, a
-// value can neither end its line nor its field.
+// Prevents log forging: a caller could put a line break or `request=` into a
+// header that is logged. Every byte outside printable ASCII and every quote is
+// escaped inside quotes, so a value can end neither its line nor its field.
 std::string escape_value(std::string_view value)
 {
     if (!value.empty() && std::all_of(value.begin(), value.end(), is_bare))
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -43,8 +43,8 @@
         .Add({});
 }
 
-// Bounds in seconds, dense around the goals for the first token and for each
-// further one.
+// Bounds in seconds, dense around the latency targets for the first token and
+// for the gap between tokens.
 prometheus::Histogram::BucketBoundaries latency_buckets()
 {
     return {0.0001, 0.00025, 0.0005, 0.001, 0.002, 0.005, 0.01,
@@ -110,8 +110,8 @@
 
 struct metrics::state
 {
-    // Looking a labelled counter up takes the family's lock; one request does
-    // it a few times, a token never.
+    // Looking up a labelled counter takes the family's lock. That happens a few
+    // times per request, but never per token.
     prometheus::Registry registry;
     counter_family& requests{
         make_counters(this->registry, "caperpath_requests_total",
--- a/src/observe/span_json.cpp
+++ b/src/observe/span_json.cpp
@@ -17,11 +17,11 @@
 constexpr std::int64_t nanoseconds_per_ms = 1'000'000;
 constexpr std::int64_t nanoseconds_per_us = 1'000;
 
-// A time outside this range would overflow the nanoseconds of the wire form.
+// A time outside this range overflows 64-bit nanoseconds in OTLP.
 constexpr std::int64_t max_ms =
     std::numeric_limits<std::int64_t>::max() / nanoseconds_per_ms / 2;
 
-// OTLP writes 64-bit numbers as JSON text, since JSON readers lose digits.
+// OTLP writes 64-bit numbers as JSON strings, since JSON readers lose digits.
 std::int64_t read_nanoseconds(json const& value)
 {
     auto const text = value.get<std::string>();
@@ -95,8 +95,8 @@
         {"startTimeUnixNano", std::to_string(start)},
         {"endTimeUnixNano", std::to_string(end)},
         {"attributes", write_attributes(value.attributes)}};
-    // A caller's bytes may be in an attribute; `replace` keeps a byte that is
-    // not UTF-8 from throwing on the writer's thread and ending all tracing.
+    // Attributes may contain a caller's bytes. Without `replace`, a byte that
+    // is not UTF-8 would throw on the writer thread and end all tracing.
     return object.dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
--- a/src/observe/span_sink.cpp
+++ b/src/observe/span_sink.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-// Appends to a file on a thread of its own. A request that wrote the file
-// itself would wait for a full or slow disk, and its caller would see a late
-// token; a queue without a bound would grow until the process is killed. So the
-// queue is bounded, and a full one drops the span and counts it.
+// Appends to a file on a separate thread, so that a full or slow disk does not
+// delay a request's tokens. The queue is bounded, because an unbounded one
+// could grow until the process is killed; a span that does not fit is dropped
+// and counted.
 class file_writer
 {
 public:
@@ -89,8 +89,8 @@
         }
     }
 
-    // A write that fails (the disk is full) loses the batch: counted as
-    // dropped, and the stream is reset so that later ones are tried again.
+    // A failed write (full disk) loses the batch, which is counted as dropped.
+    // The stream is reset so that later batches are attempted.
     void write(std::deque<span> const& batch)
     {
         for (auto const& value : batch)
@@ -114,7 +114,7 @@
     std::atomic<std::uint64_t> drop_count{0};
     bool writing{false};
     bool stopping{false};
-    std::thread worker; // last: starts when everything else stands
+    std::thread worker; // last: uses all other members
 };
 
 } // namespace
--- a/src/observe/termination.hpp
+++ b/src/observe/termination.hpp
@@ -6,15 +6,15 @@
 namespace caperpath::observe
 {
 
-/// Lets a `main` wait for SIGTERM or SIGINT and then stop in order. Not thread
-/// safe. @pre made before any other thread starts, so that all inherit the
-/// blocked signals and none is ended by one.
+/// Lets `main` wait for SIGTERM or SIGINT and then stop cleanly. Not thread
+/// safe. @pre constructed before any other thread starts, so that all threads
+/// inherit the blocked signals and none is terminated by them.
 class termination_signal
 {
 public:
     termination_signal();
 
-    /// Blocks until one of the two signals arrives.
+    /// Blocks until SIGTERM or SIGINT arrives.
     void wait() const;
 
 private:
--- a/src/observe/trace.cpp
+++ b/src/observe/trace.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t span_digits = 16;
 constexpr std::size_t trace_digits = 32;
 
-// "VV-" trace "-" span "-" flags, by W3C Trace Context.
+// W3C Trace Context: "VV-" trace "-" span "-" flags.
 constexpr std::size_t trace_offset = 3;
 constexpr std::size_t span_offset = trace_offset + trace_digits + 1;
 constexpr std::size_t flags_offset = span_offset + span_digits + 1;
@@ -58,7 +58,7 @@
            header[flags_offset - 1] == '-';
 }
 
-// Version 00 ends after the flags; a later one may go on after a dash.
+// Version 00 ends after the flags; later versions may continue after a dash.
 bool has_valid_end(std::string_view header, std::uint64_t version)
 {
     if (header.size() == header_size)
@@ -154,7 +154,7 @@
     return {this->next()};
 }
 
-// Zero means "no id" on the wire, so it is never given out.
+// Never returns zero, which means "no id" on the wire.
 std::uint64_t id_generator::next()
 {
     std::lock_guard const lock{this->mutex};
--- a/src/observe/trace_tree.cpp
+++ b/src/observe/trace_tree.cpp
@@ -23,8 +23,8 @@
     return a.trace == b.trace && a.id == b.id;
 }
 
-// One place a span, earliest first.
-void sort_and_unify(std::vector<span>& spans)
+// Sorts spans by start time and removes duplicates.
+void sort_and_deduplicate(std::vector<span>& spans)
 {
     std::stable_sort(spans.begin(), spans.end(), starts_earlier);
     spans.erase(std::unique(spans.begin(), spans.end(), same_span),
@@ -44,8 +44,9 @@
     {
         for (std::size_t i = 0; i < spans.size(); ++i)
         {
-            auto const mine = spans[i].attribute(request_attribute) == request;
-            if (mine)
+            auto const matches =
+                spans[i].attribute(request_attribute) == request;
+            if (matches)
             {
                 this->select(i);
             }
@@ -62,8 +63,8 @@
                 roots.push_back(this->node(i));
             }
         }
-        // Spans that name each other as parent have no root among them, and a
-        // walk from the roots would leave them out of what an operator sees.
+        // Spans that name each other as parent have no root, so a traversal
+        // from the roots would omit them.
         for (auto const i : this->selected)
         {
             if (!this->placed.contains(i))
@@ -138,7 +139,7 @@
 std::vector<trace_node> build_tree(std::vector<span> spans,
                                    std::string_view request)
 {
-    sort_and_unify(spans);
+    sort_and_deduplicate(spans);
     return tree_builder{spans, request}.build();
 }
 
--- a/tests/http/fault_plan_test.cpp
+++ b/tests/http/fault_plan_test.cpp
@@ -11,16 +11,16 @@
 class fault_plan_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(fault_plan_test);
-    CPPUNIT_TEST(strikes_as_often_as_asked);
-    CPPUNIT_TEST(an_outage_ends_by_itself);
-    CPPUNIT_TEST(a_seed_strikes_the_same_calls);
-    CPPUNIT_TEST(a_wrong_fault_is_named_and_not_planned);
+    CPPUNIT_TEST(applies_to_count_calls);
+    CPPUNIT_TEST(an_outage_expires);
+    CPPUNIT_TEST(a_seed_selects_the_same_calls);
+    CPPUNIT_TEST(an_invalid_fault_is_reported_and_not_added);
     CPPUNIT_TEST_SUITE_END();
 
     http::fault_vocabulary const vocabulary{{"commit", "read"},
                                             {"error", "outage", "delay"}};
 
-    void strikes_as_often_as_asked()
+    void applies_to_count_calls()
     {
         http::fault_plan plan{this->vocabulary};
         plan.add({{"step", "commit"}, {"kind", "error"}, {"count", 2}}, {0});
@@ -30,7 +30,7 @@
         CPPUNIT_ASSERT(!plan.take("commit", {0}));
     }
 
-    void an_outage_ends_by_itself()
+    void an_outage_expires()
     {
         http::fault_plan plan{this->vocabulary};
         plan.add({{"step", "any"}, {"kind", "outage"}, {"ms", 10}}, {100});
@@ -38,9 +38,9 @@
         CPPUNIT_ASSERT(!plan.take("read", {110}));
     }
 
-    void a_seed_strikes_the_same_calls()
+    void a_seed_selects_the_same_calls()
     {
-        auto const struck = [this]
+        auto const affected_calls = [this]
         {
             http::fault_plan plan{this->vocabulary};
             plan.add({{"step", "any"},
@@ -56,16 +56,16 @@
             }
             return calls;
         };
-        auto const once = struck();
-        CPPUNIT_ASSERT_EQUAL(once, struck());
+        auto const once = affected_calls();
+        CPPUNIT_ASSERT_EQUAL(once, affected_calls());
         auto const hits = std::count(once.begin(), once.end(), 'x');
         CPPUNIT_ASSERT(hits > 250 && hits < 350);
     }
 
-    void a_wrong_fault_is_named_and_not_planned()
+    void an_invalid_fault_is_reported_and_not_added()
     {
         http::fault_plan plan{this->vocabulary};
-        for (auto const& wrong :
+        for (auto const& invalid :
              {json{{"step", "comit"}, {"kind", "error"}},
               json{{"step", "any"}, {"kind", "delay"}},
               json{{"step", "any"}, {"kind", "error"}, {"count", 0}},
@@ -75,7 +75,7 @@
                    {"ms", 5},
                    {"count", 1}}})
         {
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, plan.add(wrong, {0}).size());
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, plan.add(invalid, {0}).size());
         }
         CPPUNIT_ASSERT(!plan.add("text", {0}).empty());
         CPPUNIT_ASSERT(!plan.take("commit", {0}));
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -19,11 +19,11 @@
 namespace
 {
 
-// A connection on which a test sends any bytes.
-class raw_caller
+// A connection on which a test sends arbitrary bytes.
+class raw_client
 {
 public:
-    explicit raw_caller(int port) : socket{::socket(AF_INET, SOCK_STREAM, 0)}
+    explicit raw_client(int port) : socket{::socket(AF_INET, SOCK_STREAM, 0)}
     {
         sockaddr_in peer{};
         peer.sin_family = AF_INET;
@@ -34,16 +34,16 @@
                                         sizeof(peer)));
     }
 
-    raw_caller(raw_caller&& other) noexcept
+    raw_client(raw_client&& other) noexcept
         : socket{std::exchange(other.socket, -1)}
     {
     }
 
-    raw_caller(raw_caller const&) = delete;
-    raw_caller& operator=(raw_caller const&) = delete;
-    raw_caller& operator=(raw_caller&&) = delete;
+    raw_client(raw_client const&) = delete;
+    raw_client& operator=(raw_client const&) = delete;
+    raw_client& operator=(raw_client&&) = delete;
 
-    ~raw_caller()
+    ~raw_client()
     {
         if (this->socket >= 0)
         {
@@ -98,8 +98,8 @@
         return !answer && answer.error() == httplib::Error::Connection;
     }
 
-    /// The body that a caller gets from a handler that ends only after the
-    /// server has begun to stop, or how the call failed.
+    /// Returns the body received from a handler that ends only after the
+    /// server has begun to stop, or the error of the call.
     static std::string answer_during_stop(
         std::function<void(httplib::Response&)> const& make_answer)
     {
@@ -136,8 +136,8 @@
     }
 
     // A second router is started on a VM by mistake while the first one runs.
-    // If both could listen on the port, the second would take the first for
-    // dead and hand its share of a budget to others while it is still spent.
+    // If both could listen on the port, the second would consider the first
+    // dead and give away its share of a budget while the first still spends it.
     void an_address_is_bound_once()
     {
         http::server first;
@@ -148,8 +148,8 @@
                              second.bind("127.0.0.1:" + std::to_string(port)));
     }
 
-    // Ordinary clients say that they take compressed answers. Compressing one
-    // of 200 KB took 208 ms of processor time, which every other caller waits.
+    // Common clients accept compressed responses. Compressing 200 KB takes
+    // 208 ms of processor time, which delays all other callers.
     void a_large_answer_is_not_compressed()
     {
         http::server server;
@@ -168,7 +168,7 @@
         CPPUNIT_ASSERT(answer->body == body);
     }
 
-    // Guards against a library that writes no body once its server stops.
+    // Guards against the library omitting the body once its server stops.
     void an_answer_under_way_at_a_stop_arrives_whole()
     {
         std::string const body(200'000, 'x');
@@ -179,8 +179,8 @@
         CPPUNIT_ASSERT(body == got);
     }
 
-    // Guards against the same for a body in chunks, whose first one comes after
-    // the server has begun to stop.
+    // Guards against the same for a chunked body whose first chunk is written
+    // after the server has begun to stop.
     void a_stream_that_begins_after_a_stop_arrives_whole()
     {
         auto const got = answer_during_stop(
@@ -201,8 +201,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"piece piece piece "}, got);
     }
 
-    // Guards against requests that the kernel has taken and the accept loop has
-    // not when the server stops.
+    // Guards against the loss of connections that the kernel has established
+    // but the accept loop has not accepted when the server stops.
     void connections_that_wait_at_a_stop_are_served()
     {
         constexpr std::size_t callers = 100;
@@ -210,7 +210,7 @@
         server.Get("/", [](httplib::Request const&, httplib::Response& response)
                    { http::set_body(response, "served", "text/plain"); });
         int const port = server.bind("127.0.0.1:0");
-        std::vector<raw_caller> waiting;
+        std::vector<raw_client> waiting;
         for (std::size_t i = 0; i < callers; ++i)
         {
             waiting.emplace_back(port).send(
--- a/tests/observe/command_line_test.cpp
+++ b/tests/observe/command_line_test.cpp
@@ -63,8 +63,8 @@
         CPPUNIT_ASSERT_EQUAL(0, run({"--settings", file.c_str(), "--check"}));
     }
 
-    // An operator mistypes two keys. Told only of the first, they would restart
-    // the router twice; both are named with their paths before anything runs.
+    // An operator mistypes two keys. All errors are reported with their paths
+    // before anything runs, so that one correction is enough.
     void every_fault_is_named()
     {
         auto const file = settings_file(R"({"limti": 7})");
--- a/tests/observe/log_test.cpp
+++ b/tests/observe/log_test.cpp
@@ -15,8 +15,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     // A caller sends a request id with a line break, a quote and "peer=" in it.
-    // An operator who searches the log must not find a line that the router
-    // never wrote.
+    // Guards against log lines or fields forged by such a value.
     void a_value_never_leaves_its_field()
     {
         CPPUNIT_ASSERT(rc::check(
--- a/tests/observe/metrics_test.cpp
+++ b/tests/observe/metrics_test.cpp
@@ -40,8 +40,8 @@
         assert_has(page, "caperpath_spans_dropped_total 3");
     }
 
-    // A fault makes up a new refusal code a request; without a bound the
-    // router's memory grows with its traffic.
+    // Guards against unbounded memory if a fault creates a new rejection code
+    // for each request.
     void labels_stay_bounded()
     {
         metrics counted;
--- a/tests/observe/trace_test.cpp
+++ b/tests/observe/trace_test.cpp
@@ -75,7 +75,7 @@
                 auto const both =
                     value_or_error([&] { return parse_json_line(noise); });
                 RC_ASSERT(std::holds_alternative<error>(both));
-                // A valid header with one byte changed: read whole or refused.
+                // A valid header with one byte changed: accepted or rejected.
                 id_generator ids{3};
                 auto header = format_traceparent(
                     {ids.next_trace_id(), ids.next_span_id(), true});
@@ -130,7 +130,7 @@
                 auto const line = to_json_line(value);
                 RC_ASSERT(line.find('\n') == std::string::npos);
                 auto read = parse_json_line(line).value();
-                // Bytes that are not UTF-8 come back replaced.
+                // Bytes that are not UTF-8 are replaced.
                 read.attributes = value.attributes;
                 RC_ASSERT(read == value);
             }));
@@ -154,8 +154,8 @@
         CPPUNIT_ASSERT(parse_json_line(lines[1]).value().name == "second");
     }
 
-    // The disk under the span file fills up. Requests go on; an operator sees
-    // in the metrics how many spans are missing from a tree.
+    // The disk of the span file is full. Requests continue, and the lost spans
+    // are counted in the metrics.
     void a_full_disk_is_counted()
     {
         auto const sink = make_file_sink("/dev/full", 100).value();
@@ -164,9 +164,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, sink.dropped());
     }
 
-    // The file's disk hangs: a write neither fails nor returns. A request that
-    // waited for it would keep its caller waiting; instead the spans that no
-    // longer fit into the queue are missing from the trees and counted.
+    // The disk hangs: a write neither fails nor returns. Requests must not wait
+    // for it; spans that do not fit into the queue are dropped and counted.
     void a_stuck_file_holds_up_nobody()
     {
         auto const fifo = std::filesystem::temp_directory_path() /
--- a/tests/observe/trace_tree_test.cpp
+++ b/tests/observe/trace_tree_test.cpp
@@ -43,9 +43,8 @@
     CPPUNIT_TEST(other_requests_of_the_trace_stay_out);
     CPPUNIT_TEST_SUITE_END();
 
-    // Routers write their files at their own pace and some spans are dropped
-    // or read twice. An operator who looks for the slow hop must see every
-    // span that was recorded, once.
+    // Spans of several routers arrive in any order; some are dropped and some
+    // are read twice. The tree must contain every recorded span exactly once.
     void any_order_and_any_parents_show_each_span_once()
     {
         CPPUNIT_ASSERT(rc::check(
