--- a/src/load/answer_reader.cpp
+++ b/src/load/answer_reader.cpp
@@ -21,7 +21,7 @@
     return json::parse(text, nullptr, false);
 }
 
-// An object's member, or null for whatever is not there.
+// Returns a member, or null if it is missing or `value` is not an object.
 json const& member(json const& value, char const* key)
 {
     static json const none;
@@ -154,7 +154,7 @@
 verdict judge(std::string const& prompt, std::int64_t max_tokens,
               chat_answer const& answer)
 {
-    // The engine's answer depends on all messages, each ended by a line break.
+    // The response depends on all messages, each ended by a line break.
     auto const seen = prompt + "\n";
     auto const length = std::min(stand_in::answer_length(seen), max_tokens);
     auto const expected = stand_in::answer_text(seen, 0, length);
@@ -166,8 +166,7 @@
     {
         return verdict::cut;
     }
-    // A bill that counts other tokens than the caller got is as wrong as the
-    // text of another.
+    // A bill with a different token count is as wrong as a different text.
     return answer.completion_tokens == length ? verdict::whole : verdict::wrong;
 }
 
--- a/src/load/answer_reader.hpp
+++ b/src/load/answer_reader.hpp
@@ -13,14 +13,14 @@
 namespace caperpath::load
 {
 
-/// What has been read of one chat answer.
+/// The part of one chat response read so far.
 struct chat_answer
 {
     std::string text;
     std::string finish_reason;
-    bool done{false};          ///< the last event, or a whole body, came
+    bool done{false};          ///< last event or complete body received
     std::string error_code;    ///< of an error event in the stream
-    std::string error_outcome; ///< as told in that event
+    std::string error_outcome; ///< outcome in that event
     std::int64_t prompt_tokens{};
     std::int64_t completion_tokens{};
     std::int64_t first_token_us{-1};
@@ -30,11 +30,11 @@
     friend bool operator==(chat_answer const&, chat_answer const&) = default;
 };
 
-/// Reads a streamed answer piece by piece. Not thread safe.
+/// Reads a streamed response in pieces. Not thread safe.
 class stream_reader
 {
 public:
-    /// `now_us` is when `piece` came.
+    /// Parses `piece`, received at `now_us`.
     void feed(std::string_view piece, std::int64_t now_us);
 
     chat_answer const& answer() const;
@@ -46,21 +46,22 @@
     chat_answer read;
 };
 
-/// Thread safe. The answer in one piece, which came at `now_us`.
+/// Reads a response in one piece, received at `now_us`. Thread safe.
 chat_answer read_whole(std::string_view body, std::int64_t now_us);
 
-/// Thread safe. The code of an OpenAI error object, else its type, else empty.
+/// Returns the code of an OpenAI error object, or else its type, or an empty
+/// string. Thread safe.
 std::string error_code(std::string_view body);
 
 enum class verdict
 {
-    whole, ///< exactly the stand-in engine's answer
-    cut,   ///< its beginning
-    wrong  ///< another text: a token twice, missing or of another request
+    whole, ///< exactly the response of the engine emulator
+    cut,   ///< the beginning of that response
+    wrong  ///< a token is duplicate, missing or of another request
 };
 
-/// Thread safe. Judges a text against the pure answer function of the stand-in
-/// engine, for a request with `prompt` in one user message.
+/// Compares a response with the expected response of the engine emulator to a
+/// request with `prompt` in one user message. Thread safe.
 verdict judge(std::string const& prompt, std::int64_t max_tokens,
               chat_answer const& answer);
 
--- a/src/load/attempt.hpp
+++ b/src/load/attempt.hpp
@@ -13,35 +13,36 @@
 namespace caperpath::load
 {
 
-/// What came back from one router for one try of a request. Immutable value
-/// once judged.
+/// Result of one attempt of a request at one router. Immutable once `end` is
+/// set.
 struct attempt
 {
-    int status{}; ///< 0: no answer
+    int status{}; ///< 0: no response
     std::string request_id;
     std::string outcome; ///< `Caperpath-Outcome`, empty if not given
     duration retry_after{};
     chat_answer answer;
-    std::string code; ///< of a refusal
+    std::string code; ///< of a rejection
     ending end{ending::unanswered};
 
     friend bool operator==(attempt const&, attempt const&) = default;
 };
 
-/// Thread safe, pure. How a chat attempt ended, from its status and answer.
+/// Returns how a chat attempt ended, from its status and response. Thread safe,
+/// pure.
 ending judge_chat(planned_request const& planned, attempt const& got);
 
-/// Thread safe, pure. True when sending it again may help: no answer, a cut
-/// one, 429 or 5xx, and no word that it is complete.
+/// Returns true if a retry may help: after no response, a cut response, or a
+/// 429 or 5xx whose outcome is not "completed". Thread safe, pure.
 bool may_repeat(attempt const& got);
 
-/// Thread safe, pure. How long to wait before attempt `next` (2 is the first
-/// repeat): what the router asked for, at least the growing wait of `retries`,
-/// and never above its largest.
+/// Returns the backoff before attempt `next` (2 is the first retry): the larger
+/// of `retry_after` and the exponential backoff of `retries`, up to the maximum
+/// of `retries`. Thread safe, pure.
 duration wait_before(std::int64_t next, duration retry_after,
                      retry_policy const& retries);
 
-/// Thread safe, pure. `so_far` with one more attempt.
+/// Returns `so_far` with one more attempt. Thread safe, pure.
 record with_attempt(record so_far, attempt const& got);
 
 } // namespace caperpath::load
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -23,7 +23,7 @@
 constexpr std::int64_t ms_per_second = 1'000;
 constexpr std::chrono::seconds connect_timeout{2};
 
-// A larger answer is no answer to what was asked.
+// A larger body cannot be a response to a planned request.
 constexpr std::size_t max_body_bytes = 16 * 1024 * 1024;
 
 duration read_retry_after(httplib::Response const& response)
@@ -162,7 +162,8 @@
         got.answer = streamed ? reader.answer()
                               : read_whole(body, this->watch.elapsed_us());
         got.code = got.answer.error_code;
-        // The head of a stream is sent before its outcome is known.
+        // The head of a stream is sent before its outcome is known, so the
+        // outcome is in an error event.
         got.outcome = got.answer.error_outcome;
     }
     got.end = judge_chat(planned, got);
--- a/src/load/caller.hpp
+++ b/src/load/caller.hpp
@@ -20,20 +20,20 @@
 
 struct attempt;
 
-/// Sends requests one after the other, as one caller does, over connections
-/// that it keeps. A failed attempt is repeated at the next router with the same
-/// idempotency key. Not thread safe: one a thread.
+/// Sends requests sequentially, as one caller does, over persistent
+/// connections. Retries a failed attempt at the next router with the same
+/// idempotency key. Not thread safe: use one per thread.
 class caller
 {
 public:
-    /// `watch` started with the run. @pre `plan` outlives the caller.
+    /// `watch` was started with the run. @pre `plan` outlives the caller.
     caller(scenario const& plan, observe::stopwatch watch);
     ~caller();
 
     caller(caller const&) = delete;
     caller& operator=(caller const&) = delete;
 
-    /// Blocks until the request has ended, with all its attempts.
+    /// Sends a request and its retries; blocks until it has ended.
     record run(planned_request const& planned);
 
 private:
--- a/src/load/planner.cpp
+++ b/src/load/planner.cpp
@@ -24,7 +24,7 @@
     return {weights.begin(), weights.end()};
 }
 
-// Readable filler of exactly `bytes` bytes that follows from `words`.
+// Returns `words` repeated to exactly `bytes` bytes.
 std::string filler(std::string const& words, std::int64_t bytes)
 {
     std::string text;
--- a/src/load/planner.hpp
+++ b/src/load/planner.hpp
@@ -12,32 +12,33 @@
 namespace caperpath::load
 {
 
-/// One request as it is to be sent. Immutable value.
+/// One request to send. Immutable value.
 struct planned_request
 {
     std::int64_t index{};
-    std::int64_t start_us{};    ///< intended start, after the run's start
+    std::int64_t start_us{};    ///< intended start, from the run's start
     std::size_t customer{};     ///< index into the scenario's customers
     std::string key;            ///< idempotency key
     std::string prompt;         ///< empty for an order
-    std::int64_t max_tokens{};  ///< what the caller is willing to pay for
-    std::size_t first_router{}; ///< index of the router it tries first
+    std::int64_t max_tokens{};  ///< upper bound of the response
+    std::size_t first_router{}; ///< index of the router to try first
 
     friend bool operator==(planned_request const&,
                            planned_request const&) = default;
 };
 
-/// The arrivals of a run: open loop, exponential gaps. The same scenario and
-/// run name give the same requests every time. Not thread safe.
+/// Generates the arrivals of a run: open loop, exponential gaps. The same
+/// scenario and run name produce the same requests. Not thread safe.
 class planner
 {
 public:
     /// `run` is part of every key and prompt, so that a second run against the
-    /// same fleet sends new requests. @pre `plan` outlives the planner and has
-    /// no fault.
+    /// same fleet sends new requests. @pre `plan` is valid and outlives the
+    /// planner.
     planner(scenario const& plan, std::string run);
 
-    /// The next request by start, or nothing after the scenario's length.
+    /// Returns the next request by start, or nothing after the scenario's
+    /// length.
     std::optional<planned_request> next();
 
 private:
--- a/src/load/record.hpp
+++ b/src/load/record.hpp
@@ -9,17 +9,17 @@
 namespace caperpath::load
 {
 
-/// What a caller got in the end.
+/// Final result of a request.
 enum class ending
 {
-    completed,  ///< the whole answer to its own request
-    refused,    ///< an answer that says why not
-    cut,        ///< part of its answer, then nothing
-    wrong,      ///< text that is not part of the answer to this request
-    unanswered, ///< no answer at all
+    completed,  ///< the complete response to this request
+    refused,    ///< a rejection with its reason
+    cut,        ///< only the beginning of the response
+    wrong,      ///< text that does not belong to the response
+    unanswered, ///< no response
 };
 
-/// Thread safe. The lower-case name.
+/// Returns the lower-case name. Thread safe.
 std::string_view to_string(ending kind);
 
 /// One request with all its attempts. Immutable value once recorded.
@@ -28,11 +28,11 @@
     std::int64_t index{};
     std::size_t customer{};
     std::string key;        ///< idempotency key
-    std::string request_id; ///< as the router named it, of the last attempt
+    std::string request_id; ///< set by the router, of the last attempt
     ending end{ending::unanswered};
-    int status{};        ///< of the last attempt, 0: none came
-    std::string code;    ///< of a refusal
-    std::string outcome; ///< as told: "not-run", "unknown", "completed"
+    int status{};        ///< of the last attempt, 0: no response
+    std::string code;    ///< of a rejection
+    std::string outcome; ///< as reported: "not-run", "unknown", "completed"
     std::int64_t attempts{};
     std::int64_t cut_attempts{}; ///< attempts whose stream ended early
     std::int64_t prompt_tokens{};
--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -53,7 +53,7 @@
     return found == sums.endings.end() ? 0 : found->second;
 }
 
-// The first cell to the left, the others to the right of their columns.
+// Aligns the first cell to the left and the others to the right.
 std::string table_row(std::vector<std::string> const& cells)
 {
     std::ostringstream line;
--- a/src/load/report.hpp
+++ b/src/load/report.hpp
@@ -12,16 +12,17 @@
 namespace caperpath::load
 {
 
-/// Thread safe. All results as one object.
+/// Returns all results as one object. Thread safe.
 nlohmann::json to_json(results const& read);
 
-/// Thread safe. One line of JSON a request, for checks against the ledger.
+/// Returns one request as a line of JSON, for checks against the ledger. Thread
+/// safe.
 std::string to_json_line(scenario const& plan, record const& one);
 
-/// Thread safe. A table for people.
+/// Returns the results as a text table. Thread safe.
 std::string to_table(results const& read);
 
-/// Thread safe. One line for a run that goes on.
+/// Returns a progress line of a run. Thread safe.
 std::string progress_line(results const& read, duration elapsed);
 
 } // namespace caperpath::load
--- a/src/load/runner.cpp
+++ b/src/load/runner.cpp
@@ -21,10 +21,10 @@
 
 constexpr std::int64_t us_per_ms = 1'000;
 
-// Each worker takes the next request of the plan, waits for its start and sees
-// it to its end. With all workers busy a request starts late; since latencies
-// count from the intended start, a fleet that falls behind shows it instead of
-// slowing the arrivals down.
+// Each worker takes the next request of the plan, waits for its start and runs
+// it to its end. If all workers are busy, a request starts late. Latencies
+// count from the intended start, so a slow fleet shows in the latencies instead
+// of slowing the arrivals down.
 class run_state
 {
 public:
--- a/src/load/runner.hpp
+++ b/src/load/runner.hpp
@@ -11,8 +11,7 @@
 namespace caperpath::load
 {
 
-/// Where a run tells of itself. The functions are called by one thread at a
-/// time.
+/// Callbacks of a run, called by one thread at a time.
 struct observer
 {
     std::function<void(record const&)> ended;
@@ -20,7 +19,7 @@
 };
 
 /// Sends all requests of `plan` and blocks until each has ended. `run` names
-/// the run in keys and prompts. @pre `plan` has no fault.
+/// the run in keys and prompts. @pre `plan` is valid.
 results run_scenario(scenario const& plan, std::string const& run,
                      observer const& watcher);
 
--- a/src/load/scenario.cpp
+++ b/src/load/scenario.cpp
@@ -12,7 +12,7 @@
 using config::json_reader;
 using nlohmann::json;
 
-// Each open request has a thread of its own.
+// Each open request uses one thread.
 constexpr std::int64_t max_threads = 2'000;
 constexpr std::int64_t max_rate = 20'000;
 constexpr std::int64_t max_weight = 1'000'000;
--- a/src/load/scenario.hpp
+++ b/src/load/scenario.hpp
@@ -21,14 +21,14 @@
     order         ///< a call of a plain service that may run once only
 };
 
-/// Thread safe. "stream", "short" or "order".
+/// Returns "stream", "short" or "order". Thread safe.
 std::string_view to_string(request_kind kind);
 
 /// One customer's share of the traffic. A customer with several kinds of
 /// requests has several entries. Immutable value.
 struct customer_load
 {
-    std::string name; ///< results are summed up by it
+    std::string name; ///< results are summed by name
     std::string key;  ///< the bearer key
     std::int64_t weight{1};
     request_kind kind{request_kind::stream};
@@ -42,19 +42,19 @@
                            customer_load const&) = default;
 };
 
-/// Prompts that begin alike, as a fault log or a guideline book does.
+/// Prompts with a common prefix, such as a fault log or a guideline.
 struct prompt_family
 {
     std::string name;
     std::int64_t weight{1};
-    std::int64_t shared_bytes{}; ///< the same in all prompts of the family
+    std::int64_t shared_bytes{}; ///< common to all prompts of the family
     std::int64_t own_bytes{};    ///< different in each
 
     friend bool operator==(prompt_family const&,
                            prompt_family const&) = default;
 };
 
-/// How callers repeat: same idempotency key, next router.
+/// Retries of callers: same idempotency key, next router.
 struct retry_policy
 {
     std::int64_t max_attempts{4};
@@ -64,16 +64,16 @@
     friend bool operator==(retry_policy const&, retry_policy const&) = default;
 };
 
-/// All that one run of the load tool does. Immutable value.
+/// Description of one run of the load tool. Immutable value.
 struct scenario
 {
     std::vector<std::string> routers; ///< "IP:port"
-    duration length{10'000};          ///< in which requests arrive
+    duration length{10'000};          ///< time during which requests arrive
     std::uint64_t seed{1};
     std::int64_t arrivals_per_second{10};
-    std::int64_t max_open{64}; ///< requests at once; more wait, and it shows
+    std::int64_t max_open{64}; ///< concurrent requests; more start late
     duration request_timeout{60'000};
-    duration progress{10'000}; ///< between two progress lines, 0: none
+    duration progress{10'000}; ///< interval of progress lines, 0: none
     std::vector<customer_load> customers;
     std::vector<prompt_family> prompt_families;
     retry_policy retries;
@@ -81,7 +81,7 @@
     friend bool operator==(scenario const&, scenario const&) = default;
 };
 
-/// Thread safe. Reads a whole scenario and adds every fault it finds.
+/// Reads a complete scenario and adds every fault it finds. Thread safe.
 scenario read_scenario(nlohmann::json const& value,
                        std::vector<config::fault>& faults);
 
--- a/src/load/tally.cpp
+++ b/src/load/tally.cpp
@@ -13,15 +13,15 @@
 
 constexpr double us_per_ms = 1'000.0;
 
-// Quantiles with a bounded error of the rank, in bounded memory. P-square
-// estimators (Boost.Accumulators) need less, but on latencies with two humps,
-// which a failover makes, their error has no bound.
+// Quantiles with a bounded rank error, in bounded memory. P-square estimators
+// (Boost.Accumulators) need less memory, but their error is unbounded on the
+// bimodal latencies that a failover causes.
 prometheus::Summary::Quantiles quantiles()
 {
     return {{0.5, 0.005}, {0.95, 0.001}, {0.99, 0.0005}};
 }
 
-// One window that no run outlasts: nothing is forgotten.
+// Longer than any run, so that no sample expires.
 constexpr std::chrono::hours window{24 * 30};
 
 class latency
@@ -115,8 +115,8 @@
     return read;
 }
 
-// A refusal is quick and a cut stream short: counted in, they would make a
-// failing fleet look fast.
+// Skips rejections and cut streams: they are short, and would make a failing
+// fleet look fast.
 void tally::add_latencies(record const& one, request_kind kind)
 {
     this->watched->start_lag.add(one.start_lag_us);
--- a/src/load/tally.hpp
+++ b/src/load/tally.hpp
@@ -14,7 +14,7 @@
 namespace caperpath::load
 {
 
-/// Milliseconds of a latency. Immutable value.
+/// Latency percentiles in milliseconds. Immutable value.
 struct percentiles
 {
     std::int64_t count{};
@@ -32,7 +32,7 @@
     std::int64_t requests{};
     std::map<std::string, std::int64_t> endings;
     std::map<std::string, std::int64_t> refusals; ///< by code
-    std::map<std::string, std::int64_t> outcomes; ///< as told
+    std::map<std::string, std::int64_t> outcomes; ///< as reported
     std::int64_t attempts{};
     std::int64_t cut_attempts{};
     std::int64_t prompt_tokens{};     ///< billed, from `usage`
@@ -41,19 +41,19 @@
     friend bool operator==(totals const&, totals const&) = default;
 };
 
-/// What became of one order. Immutable value.
+/// Result of one order. Immutable value.
 struct order_result
 {
     std::string key;
     std::string customer;
-    std::string outcome; ///< as told, empty: nothing was told
+    std::string outcome; ///< as reported, empty: none
     int status{};
     std::int64_t attempts{};
 
     friend bool operator==(order_result const&, order_result const&) = default;
 };
 
-/// What a run gave. Immutable value.
+/// Results of a run. Immutable value.
 struct results
 {
     totals all;
@@ -62,13 +62,13 @@
     percentiles token_gap;   ///< of streams
     percentiles whole;       ///< of short answers, from the intended start
     percentiles order;       ///< of orders, from the intended start
-    percentiles start_lag;   ///< the tool's own delay: large means too busy
+    percentiles start_lag;   ///< delay of the tool: large if it is too busy
     std::vector<order_result> orders;
 
     friend bool operator==(results const&, results const&) = default;
 };
 
-/// Adds records up. Thread safe.
+/// Sums up records. Thread safe.
 class tally
 {
 public:
--- a/src/stand_in/admin_routes.cpp
+++ b/src/stand_in/admin_routes.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// A leaving backend server takes no new work: nothing was run.
+/// Rejects a request to a draining backend server; nothing was run.
 void reply_leaving(httplib::Response& response)
 {
     reply_not_run(response, "leaving, takes no new work");
--- a/src/stand_in/admin_routes.hpp
+++ b/src/stand_in/admin_routes.hpp
@@ -11,30 +11,29 @@
 #include <string>
 #include <vector>
 
-/// Routes that both stand-ins have. Register before the server starts; what
-/// is passed by reference outlives the server.
+/// Routes of both emulators. Register them before the server starts.
+/// @pre arguments passed by reference outlive the server.
 namespace caperpath::stand_in
 {
 
-/// `POST /faults` and `DELETE /faults`. `accept` gets each checked fault and
-/// adds it to the board or acts on it at once.
+/// Registers `POST /faults` and `DELETE /faults`. `accept` receives each valid
+/// fault, and adds it to the board or applies it immediately.
 void add_fault_routes(httplib::Server& server, fault_board& board,
                       std::vector<std::string> kinds,
                       std::function<void(ordered_fault const&)> accept);
 
-/// While an outage stands, every call but those to `spared` paths ends without
-/// an answer.
+/// During an outage, closes the connection of every call without a response,
+/// except for calls to `spared` paths.
 void add_outage(httplib::Server& server, fault_board& board,
                 std::vector<std::string> spared);
 
-/// `POST /orders`: 409 for an old fencing number. `changed` is called after an
-/// order took effect.
+/// Registers `POST /orders`, which returns 409 for an old fencing number. Calls
+/// `changed` after a command was applied.
 void add_order_route(httplib::Server& server, order_desk& desk,
                      std::function<void()> changed);
 
-/// What was ordered for every request, chat or call: a delay, then an error or
-/// the refusal of a leaving server. True when `response` is the answer. Thread
-/// safe.
+/// Applies an injected delay, then an injected error or the rejection of a
+/// draining server. Returns true if it has set `response`. Thread safe.
 bool refused_by_order(fault_board& faults, order_desk const& orders,
                       stop_signal& stopping, httplib::Response& response);
 
--- a/src/stand_in/answer.cpp
+++ b/src/stand_in/answer.cpp
@@ -16,7 +16,7 @@
 {
 
 constexpr std::int64_t bytes_per_token = 4;
-constexpr std::int64_t longest_answer = 471; // mean 236, as the users measure
+constexpr std::int64_t longest_answer = 471; // mean 236
 constexpr std::string_view length_mark = "[tokens=";
 constexpr std::size_t length_digits = 6;
 constexpr std::uint64_t token_mask = 0xffffff;
@@ -39,7 +39,7 @@
     }
 }
 
-// -1 when the prompt does not ask for a length.
+// Returns -1 if the prompt requests no length.
 std::int64_t asked_length(std::string_view prompt)
 {
     auto const mark = prompt.find(length_mark);
--- a/src/stand_in/answer_stream.cpp
+++ b/src/stand_in/answer_stream.cpp
@@ -15,8 +15,7 @@
 namespace
 {
 
-// How long a connection may go on without looking whether its caller left or
-// the process stops.
+// Interval between checks whether the caller disconnected or the process stops.
 constexpr duration look_around{100};
 
 std::string event(std::string const& data)
@@ -24,8 +23,8 @@
     return "data: " + data + "\n\n";
 }
 
-// The document from its member "caperpath" on, which JSON's order of names puts
-// first: a chunk's offset goes before it.
+// Returns the document after the start of its member "caperpath", which sorts
+// first. A chunk inserts its offset before this text.
 std::string after_mark(nlohmann::json const& head)
 {
     constexpr std::string_view mark = R"({"caperpath":{)";
@@ -46,7 +45,7 @@
 bool answer_stream::advance(byte_sink const& sink)
 {
     auto const first = this->source->request.first;
-    // A whole answer waits for the last token, a stream for the next one.
+    // A response in one piece waits for the last token, a stream for the next.
     auto const awaited =
         this->form.streamed || this->faults.cut >= 0 || this->faults.silent >= 0
             ? this->next
@@ -98,7 +97,7 @@
         if (this->strikes(this->faults.cut, sent) ||
             this->strikes(this->faults.silent, sent))
         {
-            return true; // the next call sees it
+            return true; // the next call applies the fault
         }
     }
     return true;
@@ -160,9 +159,9 @@
              {{"request", request.request}, {"attempt", request.attempt}}}};
 }
 
-// Put together by hand: building and writing a JSON document for each token
-// takes most of the engine's own time with 1,000 open streams. A token holds
-// nothing that JSON would escape.
+// Concatenates the chunk: with 1,000 open streams, serialising a JSON document
+// for each token would take most of the engine's processor time. A token
+// contains nothing that JSON escapes.
 std::string answer_stream::chunk(std::int64_t offset,
                                  std::string const& text) const
 {
@@ -216,7 +215,7 @@
 nlohmann::json answer_stream::usage() const
 {
     auto const prompt = prompt_tokens(this->source->request.prompt);
-    // Counted from token 0 also when resumed: it is what the answer cost.
+    // Counts from token 0 even if resumed: the price of the complete response.
     auto const completion = this->source->request.last;
     return {
         {"prompt_tokens", prompt},
--- a/src/stand_in/answer_stream.hpp
+++ b/src/stand_in/answer_stream.hpp
@@ -14,8 +14,8 @@
 namespace caperpath::stand_in
 {
 
-/// Where on a stream a fault strikes, in tokens sent; -1: nowhere. The atomic
-/// ones can also be set while the stream is open.
+/// Position of each fault on a stream, in tokens sent; -1: no fault. The atomic
+/// members may also be set while the stream is open.
 struct stream_faults
 {
     std::atomic<std::int64_t> cut{-1};
@@ -25,7 +25,7 @@
     std::int64_t skip_chunk{-1};
 };
 
-/// What the caller asked for besides the tokens. Immutable value.
+/// Options of a response besides its tokens. Immutable value.
 struct answer_form
 {
     std::string model;
@@ -37,23 +37,24 @@
     friend bool operator==(answer_form const&, answer_form const&) = default;
 };
 
-/// The two ends of a connection that a stream needs.
+/// Functions through which a stream writes to a connection.
 struct byte_sink
 {
-    std::function<bool(std::string const&)> write; ///< false: caller is gone
-    std::function<bool()> writable;                ///< false: caller is gone
-    std::function<void()> done;                    ///< the answer is whole
+    std::function<bool(std::string const&)>
+        write;                      ///< false: caller disconnected
+    std::function<bool()> writable; ///< false: caller disconnected
+    std::function<void()> done;     ///< ends the response
 };
 
-/// Writes one generation to one connection as an OpenAI answer. Only one
-/// thread may call `advance`; `faults` may be set from any.
+/// Writes one generation to one connection as an OpenAI response. Only one
+/// thread may call `advance`; any thread may set the atomic `faults`.
 class answer_stream
 {
 public:
     answer_stream(std::shared_ptr<generation> source, answer_form form);
 
-    /// Waits a short while for tokens and writes what there is. Returns false
-    /// when the connection must be closed without an end of the answer.
+    /// Waits up to 100 ms for tokens and writes those available. Returns false
+    /// if the connection must be closed without ending the response.
     bool advance(byte_sink const& sink);
 
     stream_faults faults;
@@ -74,7 +75,7 @@
     std::shared_ptr<generation> const source;
     answer_form const form;
     std::uint64_t const seed;
-    std::string const chunk_tail; // what all chunks end in
+    std::string const chunk_tail; // common end of all chunks
     std::int64_t next;
     std::int64_t cached_tokens{0};
 };
--- a/src/stand_in/chat_request.cpp
+++ b/src/stand_in/chat_request.cpp
@@ -63,7 +63,7 @@
     return reader.whole_or(key, "tokens", 1, most_tokens, most_tokens);
 }
 
-// The id goes into JSON and into headers, so it is plain text.
+// The id is copied to JSON and headers, so it must be printable ASCII.
 std::string read_request_id(httplib::Request const& request,
                             std::vector<config::fault>& faults)
 {
--- a/src/stand_in/chat_request.hpp
+++ b/src/stand_in/chat_request.hpp
@@ -14,7 +14,7 @@
 namespace caperpath::stand_in
 {
 
-/// A checked call of `POST /v1/chat/completions`. Immutable value.
+/// A validated call of `POST /v1/chat/completions`. Immutable value.
 struct chat_request
 {
     generation_request generation;
@@ -24,8 +24,8 @@
 };
 
 /// Checks the body and the headers `X-Request-Id`, `Caperpath-Attempt`,
-/// `Caperpath-Resume-Offset` and `Caperpath-Priority`; adds what is wrong to
-/// `faults`. Unknown members of the body are let pass. Thread safe.
+/// `Caperpath-Resume-Offset` and `Caperpath-Priority`; adds every error to
+/// `faults`. Ignores unknown members of the body. Thread safe.
 chat_request parse_chat(httplib::Request const& request,
                         nlohmann::json const& body,
                         std::vector<config::fault>& faults);
--- a/src/stand_in/engine.cpp
+++ b/src/stand_in/engine.cpp
@@ -198,11 +198,11 @@
     }
     if (this->stopping.wait({}))
     {
-        stream->faults.cut = 0; // `cut_open` may have run before
+        stream->faults.cut = 0; // `cut_open` may have run already
     }
-    // Whole answers go through a provider too: a handler that waits for the
-    // last token couldn't see that its caller has left, and the engine would
-    // spend its slot on an answer for nobody.
+    // Responses in one piece use a provider too: a handler waiting for the
+    // last token could not detect that its caller disconnected, and would keep
+    // the slot for a response that nobody reads.
     response.set_header("Cache-Control", "no-cache");
     response.set_chunked_content_provider(
         type,
@@ -231,7 +231,7 @@
     {
         this->strike_open(fault);
     }
-    // Silence without a count is for the streams now open: new ones work.
+    // Silence without a count affects only the streams that are open now.
     if (fault.kind != "silent" || fault.count > 0)
     {
         this->faults.add(fault);
@@ -255,7 +255,7 @@
     }
 }
 
-// The server's stop waits for open streams, and a silent one has no end.
+// The server's stop waits for open streams, and a silent one never ends.
 void engine::cut_open()
 {
     std::lock_guard const lock{this->open_mutex};
--- a/src/stand_in/engine.hpp
+++ b/src/stand_in/engine.hpp
@@ -22,10 +22,10 @@
 namespace caperpath::stand_in
 {
 
-/// A stand-in for a model engine: an OpenAI chat endpoint over continuous
-/// batching by a stated service-time model (see `engine_settings`), and a
-/// fault interface. It computes no model: the answer follows from the prompt
-/// (see `answer.hpp`). Thread safe.
+/// Emulator of a model engine: an OpenAI chat endpoint over continuous batching
+/// with a service-time model (see `engine_settings`), and a fault interface. It
+/// runs no model: the prompt determines the response (see `answer.hpp`).
+/// Thread safe.
 class engine
 {
 public:
@@ -35,10 +35,11 @@
     engine(engine const&) = delete;
     engine& operator=(engine const&) = delete;
 
-    /// Serves on the address of the settings; returns the port or -1.
+    /// Serves on the configured address. Returns the port, or -1 if it cannot
+    /// be bound.
     int start();
 
-    /// Cuts what is open and joins. Idempotent.
+    /// Cuts open streams and joins the threads. Idempotent.
     void stop();
 
 private:
--- a/src/stand_in/engine_settings.cpp
+++ b/src/stand_in/engine_settings.cpp
@@ -19,7 +19,7 @@
 std::string read_listen(config::json_reader& reader)
 {
     auto text = reader.text("listen");
-    // Port 0 is no address to call, but one to listen on: check it as port 1.
+    // `is_address` rejects port 0, which is valid for listening: check port 1.
     auto const checked =
         text.ends_with(":0") ? text.substr(0, text.size() - 1) + "1" : text;
     if (!text.empty() && !config::is_address(checked))
--- a/src/stand_in/engine_settings.hpp
+++ b/src/stand_in/engine_settings.hpp
@@ -13,11 +13,11 @@
 
 /// Settings of `caperpath-engine`. Immutable value.
 ///
-/// The service-time model: a request waits for one of `slots`; its first token
-/// comes `first_token` plus `prefill_per_1000_tokens` for each 1,000 prompt
-/// tokens that the prefix cache does not hold after that, each further one
+/// Service-time model: a request waits for one of `slots`. Its first token
+/// follows after `first_token` plus `prefill_per_1000_tokens` for each 1,000
+/// prompt tokens not in the prefix cache; each further token follows
 /// `token_time * (1 + batch_slope_percent / 100 * (running - 1) / slots)`
-/// after the one before.
+/// after the previous one.
 struct engine_settings
 {
     std::string listen{"127.0.0.1:0"};
@@ -39,12 +39,12 @@
                            engine_settings const&) = default;
 };
 
-/// Reads and checks a settings document; adds what is wrong to `faults`.
+/// Reads and checks a settings document; adds every error to `faults`.
 /// Thread safe.
 engine_settings parse_engine_settings(nlohmann::json const& document,
                                       std::vector<config::fault>& faults);
 
-/// "IP:port" where port 0 means any free one. Adds a fault otherwise.
+/// Reads "IP:port", where port 0 means any free one. Adds a fault if malformed.
 std::string read_listen(config::json_reader& reader);
 
 } // namespace caperpath::stand_in
--- a/src/stand_in/fault_board.cpp
+++ b/src/stand_in/fault_board.cpp
@@ -48,7 +48,7 @@
 void fault_board::add(ordered_fault fault)
 {
     std::lock_guard const lock{this->mutex};
-    // A delay's span says how long it delays, not how long it stands.
+    // The span of a delay is its length, not its active time.
     if (fault.span.ms > 0 && fault.kind != "delay")
     {
         fault.ends = this->time.now() + fault.span;
@@ -94,7 +94,7 @@
         return std::nullopt;
     }
     auto fault = *found;
-    // Count 0 strikes for ever, count 1 for the last time.
+    // Count 0 never runs out; count 1 is the last use.
     if (strike && found->count > 0 && --found->count == 0)
     {
         this->standing.erase(found);
--- a/src/stand_in/fault_board.hpp
+++ b/src/stand_in/fault_board.hpp
@@ -14,45 +14,46 @@
 namespace caperpath::stand_in
 {
 
-/// A fault that a test orders through `POST /faults`. Immutable value.
+/// A fault injected through `POST /faults`. Immutable value.
 struct ordered_fault
 {
     std::string kind;
-    duration span{};              ///< how long it holds or delays; 0: no end
-    std::int64_t count{0};        ///< requests it strikes; 0: all
-    std::int64_t after_tokens{0}; ///< tokens sent on a stream before it strikes
-    std::int64_t factor{1};       ///< of a slow engine
-    std::optional<instant> ends{}; ///< set by the board from `span`
+    duration span{};               ///< active time or delay; 0: no end
+    std::int64_t count{0};         ///< requests affected; 0: all
+    std::int64_t after_tokens{0};  ///< tokens sent on a stream before it
+    std::int64_t factor{1};        ///< slowdown of the engine
+    std::optional<instant> ends{}; ///< computed from `span`
 
     friend bool operator==(ordered_fault const&,
                            ordered_fault const&) = default;
 };
 
-/// Reads and checks the body of `POST /faults`; `known` names the kinds that
-/// this stand-in has. Faults of the body go to `faults`. Thread safe.
+/// Reads and checks the body of `POST /faults`; `known` lists the kinds that
+/// this emulator supports. Adds errors in the body to `faults`. Thread safe.
 ordered_fault parse_fault(nlohmann::json const& body,
                           std::vector<std::string> const& known,
                           std::vector<config::fault>& faults);
 
-/// The faults in force. Thread safe.
+/// The active faults. Thread safe.
 class fault_board
 {
 public:
     explicit fault_board(clock time);
 
-    /// For every kind but "delay", `span` bounds how long the fault stands.
+    /// Adds a fault. For every kind but "delay", `span` limits its active time.
     void add(ordered_fault fault);
 
-    /// Ends all faults.
+    /// Removes all faults.
     void clear();
 
-    /// Takes one strike of the first fault of this kind; empty if none stands.
+    /// Returns the first active fault of this kind and decrements its count;
+    /// empty if there is none.
     std::optional<ordered_fault> take(std::string_view kind);
 
-    /// The fault without using up a strike.
+    /// Returns the fault without decrementing its count.
     std::optional<ordered_fault> look(std::string_view kind);
 
-    /// Grows with each `clear`: whoever waits for one compares.
+    /// Returns the number of `clear` calls, so that a waiter detects one.
     std::uint64_t generation() const;
 
 private:
--- a/src/stand_in/load_history.cpp
+++ b/src/stand_in/load_history.cpp
@@ -20,7 +20,7 @@
         this->entries.push_back({now, this->entries.back().sample});
     }
     change(this->entries.back().sample);
-    // One entry at or before the lag is what `lagged` answers with.
+    // Keeps one entry at or before the lag, which `lagged` returns.
     while (this->entries.size() > 1 && this->entries[1].at <= now - this->lag)
     {
         this->entries.pop_front();
--- a/src/stand_in/load_history.hpp
+++ b/src/stand_in/load_history.hpp
@@ -11,7 +11,7 @@
 namespace caperpath::stand_in
 {
 
-/// What a backend server says of its load. Immutable value.
+/// The load that a backend server reports. Immutable value.
 struct load_sample
 {
     std::int64_t running{0};
@@ -22,16 +22,16 @@
     friend bool operator==(load_sample const&, load_sample const&) = default;
 };
 
-/// Remembers the load long enough to tell it as it was a lag ago. Thread safe.
+/// Keeps the load history needed to report it with a lag. Thread safe.
 class load_history
 {
 public:
     load_history(clock time, duration lag);
 
-    /// Notes a change; `change` gets the newest sample.
+    /// Records a change; `change` modifies a copy of the newest sample.
     void update(std::function<void(load_sample&)> const& change);
 
-    /// The load as it was `lag` ago.
+    /// Returns the load as it was `lag` ago.
     load_sample lagged() const;
 
 private:
--- a/src/stand_in/order_desk.hpp
+++ b/src/stand_in/order_desk.hpp
@@ -27,22 +27,23 @@
 backend_order parse_order(nlohmann::json const& body,
                           std::vector<config::fault>& faults);
 
-/// What a backend server was ordered to do. Thread safe.
+/// Applies commands to a backend server and keeps their state. Thread safe.
 class order_desk
 {
 public:
-    /// @param checks_fencing refuse an order whose number is below the largest
-    /// seen; otherwise every order is obeyed, as by engines that don't check.
+    /// @param checks_fencing reject a command whose fencing number is below
+    /// the largest received; otherwise apply every command, as engines
+    /// without this check do.
     order_desk(bool checks_fencing, std::string model);
 
-    /// False when the fencing number is old: nothing took effect.
+    /// Returns false, without effect, if the fencing number is old.
     bool apply(backend_order const& order);
 
     bool leaving() const;
     bool has_model(std::string const& model) const;
     std::set<std::string> models() const;
 
-    /// For `GET /stats`.
+    /// Returns the state for `GET /stats`.
     nlohmann::json state() const;
 
 private:
--- a/src/stand_in/prefix_cache.cpp
+++ b/src/stand_in/prefix_cache.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t events_kept = 100'000;
 constexpr std::uint64_t percent = 100;
 
-// Which events are lost follows from their numbers, so that a run repeats.
+// The sequence number determines which events are lost: runs are reproducible.
 bool is_lost(std::int64_t sequence, std::int64_t gap_percent)
 {
     constexpr std::uint64_t odd_factor = 0x9e3779b97f4a7c15;
@@ -58,8 +58,8 @@
                                   [this](std::uint64_t block)
                                   { return !this->places.contains(block); }) -
                      blocks.begin();
-    // From the last to the first: a block is of use only with those before it,
-    // so the later ones have to be forgotten first.
+    // Stores from last to first: a block is useful only with its predecessors,
+    // so later blocks must be evicted first.
     for (auto block = blocks.rbegin(); block != blocks.rend(); ++block)
     {
         this->store(*block);
--- a/src/stand_in/prefix_cache.hpp
+++ b/src/stand_in/prefix_cache.hpp
@@ -18,12 +18,12 @@
 /// Tokens in one block of the cache; only whole blocks of a prompt are cached.
 constexpr std::int64_t cache_block_tokens = 16;
 
-/// The hash of the prompt up to the end of each of its whole blocks, so that
-/// two prompts share a block exactly when they are the same up to its end.
-/// Thread safe.
+/// Returns, for each whole block of the prompt, the hash of the prompt up to
+/// the block's end. Two prompts share a block if and only if they are equal up
+/// to its end. Thread safe.
 std::vector<std::uint64_t> prefix_blocks(std::string_view prompt);
 
-/// A block came into the cache or went. Immutable value.
+/// A block was added to or evicted from the cache. Immutable value.
 struct cache_event
 {
     std::int64_t sequence{};
@@ -37,23 +37,22 @@
 /// How an engine publishes its cache events. Immutable value.
 struct event_delivery
 {
-    duration lag{};             ///< how late
-    std::int64_t gap_percent{}; ///< share that is never told
+    duration lag{};             ///< delay of publication
+    std::int64_t gap_percent{}; ///< share that is never published
 
     friend bool operator==(event_delivery const&,
                            event_delivery const&) = default;
 };
 
-/// A bounded cache of prompt prefixes that forgets the longest unused block.
-/// Thread safe.
+/// A bounded LRU cache of prompt prefixes. Thread safe.
 class prefix_cache
 {
 public:
     prefix_cache(std::int64_t capacity_tokens, event_delivery delivery,
                  clock time);
 
-    /// Tokens at the start of the prompt that are cached; afterwards all its
-    /// whole blocks that fit are.
+    /// Returns the number of cached tokens at the start of the prompt, then
+    /// caches all its whole blocks that fit.
     std::int64_t use(std::string_view prompt);
 
     std::int64_t tokens() const;
@@ -61,11 +60,11 @@
     struct published
     {
         std::vector<cache_event> events;
-        std::int64_t next{}; ///< sequence to ask after next time
+        std::int64_t next{}; ///< sequence for the next call
     };
 
-    /// Events after a sequence, as far as they are old enough to be told. Gaps
-    /// show as missing sequence numbers; so do events too old to be kept.
+    /// Returns the events after `sequence` that are at least the lag old. Lost
+    /// and discarded events leave gaps in the sequence numbers.
     published events_after(std::int64_t sequence) const;
 
 private:
@@ -76,7 +75,7 @@
     event_delivery const delivery;
     clock const time;
     mutable std::mutex mutex;
-    std::list<std::uint64_t> recent; // the most recently used first
+    std::list<std::uint64_t> recent; // most recently used first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
         places;
     std::deque<cache_event> events;
--- a/src/stand_in/replies.cpp
+++ b/src/stand_in/replies.cpp
@@ -16,8 +16,8 @@
                 nlohmann::json const& body)
 {
     response.status = status;
-    // A request may hold bytes that are no UTF-8, and an answer that echoes
-    // them must not end in an exception after the work was done.
+    // A request may contain bytes that are not UTF-8. A response that echoes
+    // them must not throw after the work was done.
     constexpr auto replace = nlohmann::json::error_handler_t::replace;
     response.set_content(body.dump(-1, ' ', false, replace),
                          "application/json");
--- a/src/stand_in/replies.hpp
+++ b/src/stand_in/replies.hpp
@@ -9,26 +9,26 @@
 #include <string_view>
 #include <vector>
 
-/// Answers that both stand-ins give. All functions here are thread safe.
+/// Responses of both emulators. All functions are thread safe.
 namespace caperpath::stand_in
 {
 
 void reply_json(httplib::Response& response, int status,
                 nlohmann::json const& body);
 
-/// OpenAI's error object.
+/// Responds with an OpenAI error object.
 void reply_error(httplib::Response& response, int status, std::string_view type,
                  std::string_view message);
 
-/// 400 that names every fault of the body by its path.
+/// Responds with 400 and every fault of the body with its path.
 void reply_faults(httplib::Response& response,
                   std::vector<config::fault> const& faults);
 
-/// 503 with the proof that nothing of the request was run.
+/// Responds with 503 and the proof that the request was not run.
 void reply_not_run(httplib::Response& response, std::string_view message);
 
-/// The body as JSON; null when it is none, which every reader of an object
-/// refuses.
+/// Returns the body as JSON; null, which every object reader rejects, if it is
+/// not JSON.
 nlohmann::json parse_body(httplib::Request const& request);
 
 } // namespace caperpath::stand_in
--- a/src/stand_in/run_counter.hpp
+++ b/src/stand_in/run_counter.hpp
@@ -11,7 +11,7 @@
 namespace caperpath::stand_in
 {
 
-/// Counts how often each key ran; forgets the oldest key past its capacity.
+/// Counts the runs of each key; drops the oldest key beyond its capacity.
 /// Thread safe.
 class run_counter
 {
@@ -20,7 +20,7 @@
     {
     }
 
-    /// Counts one more run of `key` and returns how many there were.
+    /// Counts a run of `key` and returns the number of its runs.
     std::int64_t add(std::string const& key)
     {
         std::lock_guard const lock{this->mutex};
--- a/src/stand_in/run_until_signal.hpp
+++ b/src/stand_in/run_until_signal.hpp
@@ -9,20 +9,21 @@
 namespace caperpath::stand_in
 {
 
-/// What a stand-in's `main` needs of it.
+/// The functions with which `main` runs an emulator.
 struct program_parts
 {
     std::string listen;         ///< "IP:port"
-    std::function<int()> start; ///< gives the port, or -1
+    std::function<int()> start; ///< returns the port, or -1
     std::function<void()> stop;
 };
 
-/// Makes SIGTERM and SIGINT wait for `run_until_signal` in this thread and in
-/// all that it starts. Call before the first thread is started.
+/// Blocks SIGTERM and SIGINT in this thread and in those it starts, so that
+/// `run_until_signal` receives them. Call before the first thread is started.
 void hold_signals();
 
-/// Starts, prints `{"listening":"IP:port"}` on a line, waits for SIGTERM or
-/// SIGINT, stops. Returns the exit code: 0, or 1 when it can't listen.
+/// Starts the emulator, prints `{"listening":"IP:port"}` on a line, waits for
+/// SIGTERM or SIGINT and stops. Returns the exit code: 0, or 1 if it cannot
+/// listen.
 /// @pre `hold_signals` was called.
 int run_until_signal(program_parts const& parts);
 
--- a/src/stand_in/scheduler.cpp
+++ b/src/stand_in/scheduler.cpp
@@ -159,8 +159,8 @@
                 return;
             }
         }
-        // With a token time of 0 this loop never sleeps; without a pause the
-        // others would hardly get the lock.
+        // With a token time of 0 this loop never sleeps; without the yield,
+        // other threads would rarely get the lock.
         std::this_thread::yield();
     }
 }
@@ -230,8 +230,8 @@
         {
             continue;
         }
-        // From the time it was due, so that small delays don't add up; never
-        // in the past, so that a long one is not made up for in a burst.
+        // Counts from the due time, so that small delays do not accumulate;
+        // never in the past, so that a long delay causes no burst.
         entry.key() = std::max(entry.key() + pause, at);
         later.insert(std::move(entry));
     }
--- a/src/stand_in/scheduler.hpp
+++ b/src/stand_in/scheduler.hpp
@@ -18,12 +18,12 @@
 namespace caperpath::stand_in
 {
 
-/// One request as the engine runs it. Immutable value.
+/// A request to generate tokens. Immutable value.
 struct generation_request
 {
     std::string request;
     std::int64_t attempt{1};
-    std::int64_t priority{0}; ///< larger goes first
+    std::int64_t priority{0}; ///< larger runs first
     std::string prompt;
     std::int64_t first{0}; ///< index of the first token to send
     std::int64_t last{0};  ///< one past the index of the last token
@@ -39,9 +39,9 @@
     cancelled
 };
 
-/// What the step loop hands to the connection that sends a generation: since
-/// a token follows from the prompt and its index, a count is all it takes.
-/// Thread safe.
+/// Progress of a generation, shared by the step loop and the connection that
+/// sends it. A count suffices, since prompt and index determine a token. Thread
+/// safe.
 class generation
 {
 public:
@@ -49,14 +49,14 @@
 
     struct progress
     {
-        std::int64_t produced{}; ///< one past the last token there is
+        std::int64_t produced{}; ///< one past the last token produced
         generation_state state{generation_state::running};
         std::int64_t cached_tokens{}; ///< of the prompt
 
         friend bool operator==(progress const&, progress const&) = default;
     };
 
-    /// Waits up to `span` for token `next` or the end.
+    /// Waits up to `span` for token `next` or the end; returns the progress.
     progress wait(std::int64_t next, duration span);
 
     generation_request const request;
@@ -65,7 +65,7 @@
     friend class scheduler;
 
     void start(std::int64_t cached_tokens);
-    /// Adds a token; true when it was the last.
+    /// Adds a token; returns true if it was the last.
     bool produce();
     void end(generation_state state);
 
@@ -74,20 +74,20 @@
     progress current;
 };
 
-/// What the engine wants to know of its scheduler's steps. The functions are
-/// called with the scheduler locked, so they must not call it.
+/// Callbacks of the scheduler. They are called with the scheduler locked, so
+/// they must not call it.
 struct scheduler_hooks
 {
-    /// A request got a slot; gives the cached tokens of its prompt.
+    /// Called when a request gets a slot; returns the cached prompt tokens.
     std::function<std::int64_t(generation_request const&)> started;
-    /// Times the usual step, 1 unless a fault slows the engine.
+    /// Returns the factor on each step time; 1 unless a fault slows the engine.
     std::function<double()> slowness;
-    /// Requests now running and queued.
+    /// Called with the number of running and queued requests.
     std::function<void(std::int64_t running, std::int64_t queued)> changed;
 };
 
-/// Continuous batching: at most `slots` requests generate at once, the others
-/// wait by priority, then by arrival. One thread serves all. Thread safe.
+/// Continuous batching: at most `slots` requests generate concurrently, the
+/// others wait by priority, then by arrival. Uses one thread. Thread safe.
 class scheduler
 {
 public:
@@ -97,17 +97,18 @@
     scheduler(scheduler const&) = delete;
     scheduler& operator=(scheduler const&) = delete;
 
-    /// Queues a request; null when the queue is full: it will not run.
+    /// Queues a request. Returns null, and does not run it, if the queue is
+    /// full.
     std::shared_ptr<generation> submit(generation_request request);
 
-    /// Ends a generation whose caller left; nothing if it has ended.
+    /// Cancels a generation whose caller disconnected; no effect if it ended.
     void cancel(std::shared_ptr<generation> const& ended);
 
-    /// Cancels the running and queued attempts of a request, or one of them
-    /// when `attempt` is above 0. Returns how many there were.
+    /// Cancels all running and queued attempts of a request, or only `attempt`
+    /// if it is above 0. Returns the number cancelled.
     std::int64_t cancel(std::string const& request, std::int64_t attempt);
 
-    /// Cancels all and joins the thread. Idempotent.
+    /// Cancels all generations and joins the thread. Idempotent.
     void stop();
 
     struct counts
--- a/src/stand_in/service.cpp
+++ b/src/stand_in/service.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t keys_kept = 1'000'000;
 constexpr std::int64_t longest_ms = 600'000;
 constexpr std::int64_t most_slots = 10'000;
-constexpr duration look_around{50}; // between looks whether a fault was cleared
+constexpr duration look_around{50}; // interval of checks for cleared faults
 
 std::string key_of(httplib::Request const& request)
 {
@@ -158,8 +158,8 @@
     {
         return;
     }
-    // Silent until the faults are cleared; then the connection goes, without
-    // an answer that nobody counts on any more.
+    // Stays silent until the faults are cleared, then closes the connection
+    // without a response.
     auto const before = this->faults.generation();
     while (this->faults.generation() == before &&
            !this->stopping.wait(look_around))
--- a/src/stand_in/service.hpp
+++ b/src/stand_in/service.hpp
@@ -24,8 +24,8 @@
 {
     std::string listen{"127.0.0.1:0"};
     std::string name{"service"};
-    duration work{5};       ///< how long one call runs
-    std::int64_t slots{64}; ///< calls at once; more are refused as not run
+    duration work{5};       ///< duration of one call
+    std::int64_t slots{64}; ///< concurrent calls; more are rejected
     duration load_lag{500};
     bool checks_fencing{false};
 
@@ -33,13 +33,13 @@
                            service_settings const&) = default;
 };
 
-/// Reads and checks a settings document; adds what is wrong to `faults`.
+/// Reads and checks a settings document; adds every error to `faults`.
 /// Thread safe.
 service_settings parse_service_settings(nlohmann::json const& document,
                                         std::vector<config::fault>& faults);
 
-/// A stand-in for a plain service. It knows nothing of idempotency: it runs
-/// what it gets and counts how often, so that doubled work shows. Thread safe.
+/// Emulator of a plain service without idempotency: it runs every call and
+/// counts the runs by key, so that duplicate work is detected. Thread safe.
 class service
 {
 public:
@@ -49,10 +49,11 @@
     service(service const&) = delete;
     service& operator=(service const&) = delete;
 
-    /// Serves on the address of the settings; returns the port or -1.
+    /// Serves on the configured address. Returns the port, or -1 if it cannot
+    /// be bound.
     int start();
 
-    /// Ends delayed calls and joins. Idempotent.
+    /// Ends delayed calls and joins the threads. Idempotent.
     void stop();
 
 private:
--- a/src/stand_in/stop_signal.hpp
+++ b/src/stand_in/stop_signal.hpp
@@ -10,7 +10,7 @@
 namespace caperpath::stand_in
 {
 
-/// Lets a handler that delays its answer end early when the process stops.
+/// Ends delays in handlers early when the process stops.
 /// Thread safe.
 class stop_signal
 {
@@ -22,7 +22,7 @@
         this->wake.notify_all();
     }
 
-    /// Waits up to `span`; true once the signal is raised.
+    /// Waits up to `span`; returns true once the signal is raised.
     bool wait(duration span)
     {
         std::unique_lock lock{this->mutex};
--- a/tests/load/answer_reader_test.cpp
+++ b/tests/load/answer_reader_test.cpp
@@ -90,8 +90,8 @@
             }));
     }
 
-    // The router dies while a stream is open. The caller has the beginning of
-    // an answer, which must never be counted as a whole one.
+    // The router dies while a stream is open. The beginning of a response must
+    // never be counted as complete.
     void a_stream_that_ends_early_is_cut()
     {
         CPPUNIT_ASSERT(rc::check(
@@ -108,8 +108,8 @@
     }
 
     // After a failover the new engine starts at the wrong token, or a late
-    // answer reaches another request. The caller reads text that the engine
-    // never gave for this prompt.
+    // response reaches another request. The caller receives text that the
+    // engine never generated for this prompt.
     void a_doubled_missing_or_foreign_token_is_wrong()
     {
         CPPUNIT_ASSERT(rc::check(
--- a/tests/load/run_test.cpp
+++ b/tests/load/run_test.cpp
@@ -36,7 +36,8 @@
     return all;
 }
 
-// A router that answers every order alike and keeps the keys it saw.
+// A fake router that sends the same response to every order and records the
+// keys.
 struct fake_router
 {
     fake_router(int status, std::string const& outcome)
@@ -99,7 +100,7 @@
             last_us = one.start_us;
         }
         CPPUNIT_ASSERT_EQUAL(all.size(), keys.size());
-        // 20 a second for 20 s; the seed gives one number, near the mean.
+        // 20 per second for 20 s; the seed fixes the number, near the mean.
         CPPUNIT_ASSERT(all.size() > 340 && all.size() < 460);
     }
 
@@ -123,8 +124,8 @@
         CPPUNIT_ASSERT(paths == expected);
     }
 
-    // A router is busy, or gone. The caller goes to the next with the key it
-    // had; with a new key the parts would be ordered twice.
+    // A router is busy or down. The caller must retry at the next router with
+    // the same key; with a new key the order could run twice.
     void repeats_elsewhere_with_the_same_key()
     {
         fake_router busy{503, "not-run"};
--- a/tests/stand_in/chat_client.hpp
+++ b/tests/stand_in/chat_client.hpp
@@ -10,18 +10,18 @@
 #include <string>
 #include <vector>
 
-/// What the tests of the stand-ins share.
+/// Helpers shared by the tests of the emulators.
 namespace stand_in_test
 {
 
-/// The events of one streamed answer as they came.
+/// The events of one streamed response in order of arrival.
 struct received
 {
     int status{0};
     httplib::Headers headers;
     std::vector<nlohmann::json> events;
-    bool done{false}; ///< `[DONE]` came
-    std::string tail; ///< bytes that are no whole event yet
+    bool done{false}; ///< `[DONE]` received
+    std::string tail; ///< bytes of an incomplete event
 
     std::vector<std::int64_t> offsets() const
     {
@@ -79,8 +79,8 @@
             {"stream_options", {{"include_usage", true}}}};
 }
 
-/// Calls `POST /v1/chat/completions` streamed; `seen` runs after each piece
-/// and hangs up by returning false.
+/// Calls `POST /v1/chat/completions` streamed. Calls `seen` after each piece,
+/// which returns false to disconnect.
 inline received stream_chat(
     int port, nlohmann::json const& body, httplib::Headers const& headers = {},
     std::function<bool(received const&)> const& seen = [](received const&)
--- a/tests/stand_in/engine_faults_test.cpp
+++ b/tests/stand_in/engine_faults_test.cpp
@@ -22,9 +22,9 @@
     CPPUNIT_TEST(faults_end_when_cleared);
     CPPUNIT_TEST_SUITE_END();
 
-    // The engine's machine dies in the middle of an answer: the connection is
-    // closed and the caller sees half a repair plan. Sent again with the offset
-    // of the first missing token, the rest comes and nothing twice.
+    // The engine's machine dies in the middle of a response and the connection
+    // closes. A retry with the offset of the first missing token must return
+    // the rest without duplicates.
     void a_cut_stream_goes_on_at_its_offset()
     {
         running_engine const engine{quick()};
@@ -40,9 +40,8 @@
         CPPUNIT_ASSERT_EQUAL(whole_answer(content), half.text() + rest.text());
     }
 
-    // Something between the two ends has lost track of an open connection: it
-    // stays open and gives nothing more, while new connections work. The caller
-    // waits for a next word that never comes.
+    // A network device has lost the state of an open connection: it stays open
+    // but delivers nothing, while new connections work.
     void a_silent_stream_leaves_new_ones_working()
     {
         running_engine engine{quick()};
@@ -73,8 +72,8 @@
         CPPUNIT_ASSERT(silent.offsets() == (offsets{0, 1, 2}));
     }
 
-    // A broken engine mixes its streams up. A router that passes chunks on
-    // unread shows a designer somebody else's words, a word twice, or none.
+    // A broken engine mixes up its streams. A router that forwards unchecked
+    // chunks would deliver another caller's tokens, duplicates or gaps.
     void chunks_can_be_made_wrong()
     {
         running_engine const engine{quick()};
@@ -127,8 +126,8 @@
         CPPUNIT_ASSERT_EQUAL(1, own["cancelled"].get<int>());
     }
 
-    // An engine is told to leave while it answers. The technician who reads
-    // keeps his stream to the end; new work is turned away unrun.
+    // An engine starts draining while it streams a response. The open stream
+    // must complete; new requests are rejected without being run.
     void leaving_ends_open_streams_whole()
     {
         running_engine const engine{paced()};
@@ -160,9 +159,9 @@
             stream_chat(engine.port, chat_body("a [tokens=1]", true)).done);
     }
 
-    // A router that was paused wakes up and gives an order that a later holder
-    // of the duty has overtaken. An engine that checks refuses it; one that
-    // doesn't obeys, and the wrong model is loaded.
+    // A paused router resumes and sends a command after a later lease holder
+    // has sent its own. An engine with the fencing check rejects it; one
+    // without applies it and loads the wrong model.
     void old_orders_are_refused_only_where_checked()
     {
         for (auto const checks : {true, false})
@@ -188,8 +187,8 @@
         }
     }
 
-    // The engine is gone for a while: no call gets even an answer, and streams
-    // that were open break. Once it is back, all works again.
+    // During an outage no call gets a response, and open streams break. After
+    // the faults are cleared, everything works again.
     void faults_end_when_cleared()
     {
         running_engine const engine{quick()};
--- a/tests/stand_in/engine_test.cpp
+++ b/tests/stand_in/engine_test.cpp
@@ -127,9 +127,9 @@
         CPPUNIT_ASSERT(order == expected);
     }
 
-    // More requests come than the engine's queue holds. The one that is turned
-    // away must be known not to have run, so that it may be sent elsewhere; and
-    // a caller who hangs up must free his slot.
+    // More requests arrive than the queue holds. The response to a rejected
+    // request must prove that it was not run, so that it can be sent elsewhere;
+    // and a caller who disconnects must free the slot.
     void a_full_queue_runs_nothing()
     {
         auto settings = paced();
@@ -173,7 +173,7 @@
         };
         CPPUNIT_ASSERT_EQUAL(0, cached());
         CPPUNIT_ASSERT_EQUAL(160, cached());
-        // The last token is out before the slot is free.
+        // The last token is sent before the slot is free.
         wait_until([&] { return get(engine.port, "/load")["running"] == 0; });
         auto const load = get(engine.port, "/load");
         CPPUNIT_ASSERT_EQUAL(160, load["cache_tokens"].get<int>());
--- a/tests/stand_in/lag_test.cpp
+++ b/tests/stand_in/lag_test.cpp
@@ -36,9 +36,9 @@
     CPPUNIT_TEST(load_is_told_as_it_was);
     CPPUNIT_TEST_SUITE_END();
 
-    // Whoever follows the events knows exactly what is cached: a prompt's hit
-    // is as long as the known blocks at its start, and no more are kept than
-    // fit.
+    // Replaying the events gives the exact cache contents: a prompt's hit is as
+    // long as the cached blocks at its start, and the capacity is never
+    // exceeded.
     void events_replay_to_the_cache()
     {
         auto const holds = rc::check(
--- a/tests/stand_in/running_engine.hpp
+++ b/tests/stand_in/running_engine.hpp
@@ -17,7 +17,7 @@
 
 using offsets = std::vector<std::int64_t>;
 
-// An engine that takes no time, so that the tests wait for nothing.
+// Settings without delays or lags, so that tests do not wait.
 inline engine_settings quick()
 {
     engine_settings settings;
@@ -30,7 +30,7 @@
     return settings;
 }
 
-// An engine on which a long answer is still open when the test looks at it.
+// Settings with which a long response stays open while a test inspects it.
 inline engine_settings paced()
 {
     auto settings = quick();
--- a/tests/stand_in/service_test.cpp
+++ b/tests/stand_in/service_test.cpp
@@ -67,8 +67,8 @@
         CPPUNIT_ASSERT_EQUAL(1, service.executions("r"));
     }
 
-    // The order is booked, then the connection breaks before the answer. A
-    // technician who sees only the break and orders again gets two batteries.
+    // The call runs, then the connection breaks before the response. A caller
+    // that retries after the break runs the call twice.
     void a_lost_answer_has_run()
     {
         running_service const service;
@@ -79,8 +79,8 @@
         CPPUNIT_ASSERT_EQUAL(2, service.executions("k"));
     }
 
-    // The connection stays open and nothing comes, though the order was booked.
-    // The caller can't tell whether it ran.
+    // The call runs, but the connection stays open without a response. The
+    // caller cannot know whether the call ran.
     void silence_has_run_and_ends_when_cleared()
     {
         running_service const service;
@@ -101,8 +101,8 @@
         CPPUNIT_ASSERT_EQUAL(1, service.executions("k"));
     }
 
-    // A service that fails, is gone or is leaving turns a call away. It must
-    // not have run then, and the leaving one says so.
+    // A service that fails, is down or is draining rejects a call. It must not
+    // have run the call, and the draining one reports that.
     void what_is_refused_has_not_run()
     {
         running_service const service;
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -35,11 +35,11 @@
         ->type_name("FILE")
         ->required();
     app.add_flag("--check", chosen.check_only,
-                 "check the scenario, name every fault and end");
+                 "check the scenario, report every fault and exit");
     app.add_option("--json", chosen.json_file, "write the results as JSON")
         ->type_name("FILE");
     app.add_option("--requests", chosen.requests_file,
-                   "write one JSON line a request")
+                   "write one JSON line per request")
         ->type_name("FILE");
     app.add_option("--run", chosen.run,
                    "name of the run, part of every idempotency key; the same "
@@ -54,7 +54,7 @@
     auto const value = nlohmann::json::parse(input, nullptr, false);
     if (value.is_discarded())
     {
-        faults.push_back({file, "cannot be read, or is no JSON"});
+        faults.push_back({file, "cannot be read, or is not JSON"});
         return {};
     }
     return load::read_scenario(value, faults);
@@ -111,8 +111,8 @@
 {
     options chosen;
     CLI::App app{"Sends requests to routers at a given rate, checks every "
-                 "answer and reports what came back.\nExit codes: 0 done, 1 "
-                 "a caller got a wrong answer, 2 bad scenario or file.",
+                 "response and reports the results.\nExit codes: 0 done, 1 "
+                 "a caller got a wrong response, 2 bad scenario or file.",
                  "caperpath-load"};
     declare(app, chosen);
     try
--- a/tools/trace/main.cpp
+++ b/tools/trace/main.cpp
@@ -29,8 +29,8 @@
     std::size_t bad_lines{0};
 };
 
-// A line that is cut off (its router was killed while it wrote) is skipped and
-// counted; the rest of the tree still shows.
+// Skips and counts truncated lines, which a router killed during a write leaves
+// behind; the other spans are still shown.
 void read_file(std::istream& stream, read_state& state)
 {
     for (std::string line; std::getline(stream, line);)
@@ -63,7 +63,7 @@
     }
     if (state.bad_lines > 0)
     {
-        std::cerr << state.bad_lines << " lines are no spans, skipped\n";
+        std::cerr << state.bad_lines << " lines skipped that are not spans\n";
     }
     auto const roots =
         observe::build_tree(std::move(state.spans), chosen.request);
@@ -91,7 +91,7 @@
         ->required()
         ->expected(1, -1);
     app.add_option("REQUEST_ID", chosen.request,
-                   "the value of X-Request-Id in the answer")
+                   "the value of X-Request-Id in the response")
         ->required();
     app.add_flag("--json", chosen.json, "print JSON");
     CLI11_PARSE(app, argc, argv);
