--- a/src/load/answer_reader.cpp
+++ b/src/load/answer_reader.cpp
@@ -130,7 +130,7 @@
     read_finish(choice, this->read);
 }
 
-chat_answer read_whole(std::string_view body, std::int64_t now_us)
+chat_answer read_complete(std::string_view body, std::int64_t now_us)
 {
     auto const object = parse(body);
     chat_answer read;
@@ -151,8 +151,8 @@
     return code_of(parse(body));
 }
 
-verdict judge(std::string const& prompt, std::int64_t max_tokens,
-              chat_answer const& answer)
+verdict check_response(std::string const& prompt, std::int64_t max_tokens,
+                       chat_answer const& answer)
 {
     // The response depends on all messages, each ended by a line break.
     auto const seen = prompt + "\n";
@@ -167,7 +167,8 @@
         return verdict::cut;
     }
     // A bill with a different token count is as wrong as a different text.
-    return answer.completion_tokens == length ? verdict::whole : verdict::wrong;
+    return answer.completion_tokens == length ? verdict::complete
+                                              : verdict::wrong;
 }
 
 } // namespace caperpath::load
--- a/src/load/answer_reader.hpp
+++ b/src/load/answer_reader.hpp
@@ -47,7 +47,7 @@
 };
 
 /// Reads a response in one piece, received at `now_us`. Thread safe.
-chat_answer read_whole(std::string_view body, std::int64_t now_us);
+chat_answer read_complete(std::string_view body, std::int64_t now_us);
 
 /// Returns the code of an OpenAI error object, or else its type, or an empty
 /// string. Thread safe.
@@ -55,15 +55,15 @@
 
 enum class verdict
 {
-    whole, ///< exactly the response of the engine emulator
-    cut,   ///< the beginning of that response
-    wrong  ///< a token is duplicate, missing or of another request
+    complete, ///< exactly the response of the engine emulator
+    cut,      ///< the beginning of that response
+    wrong     ///< a token is duplicate, missing or of another request
 };
 
 /// Compares a response with the expected response of the engine emulator to a
 /// request with `prompt` in one user message. Thread safe.
-verdict judge(std::string const& prompt, std::int64_t max_tokens,
-              chat_answer const& answer);
+verdict check_response(std::string const& prompt, std::int64_t max_tokens,
+                       chat_answer const& answer);
 
 } // namespace caperpath::load
 
--- a/src/load/attempt.cpp
+++ b/src/load/attempt.cpp
@@ -38,19 +38,19 @@
     return "unanswered";
 }
 
-ending judge_chat(planned_request const& planned, attempt const& got)
+ending classify_chat(planned_request const& planned, attempt const& received)
 {
-    if (got.status == 0)
+    if (received.status == 0)
     {
         return ending::unanswered;
     }
-    if (!is_success(got.status))
+    if (!is_success(received.status))
     {
         return ending::refused;
     }
-    switch (judge(planned.prompt, planned.max_tokens, got.answer))
+    switch (check_response(planned.prompt, planned.max_tokens, received.answer))
     {
-    case verdict::whole:
+    case verdict::complete:
         return ending::completed;
     case verdict::wrong:
         return ending::wrong;
@@ -60,9 +60,9 @@
     return ending::cut;
 }
 
-bool may_repeat(attempt const& got)
+bool may_retry(attempt const& received)
 {
-    switch (got.end)
+    switch (received.end)
     {
     case ending::completed:
     case ending::wrong:
@@ -73,41 +73,41 @@
     case ending::refused:
         break;
     }
-    auto const passing =
-        got.status == too_many_requests || got.status >= first_server_error;
-    return passing && got.outcome != "completed";
+    auto const transient = received.status == too_many_requests ||
+                           received.status >= first_server_error;
+    return transient && received.outcome != "completed";
 }
 
-duration wait_before(std::int64_t next, duration retry_after,
-                     retry_policy const& retries)
+duration backoff_before(std::int64_t next, duration retry_after,
+                        retry_policy const& retries)
 {
     auto const doublings = std::clamp<std::int64_t>(next - 2, 0, max_doublings);
     duration const grown{retries.first_wait.ms << doublings};
-    return std::min(std::max(grown, retry_after), retries.most_wait);
+    return std::min(std::max(grown, retry_after), retries.max_wait);
 }
 
-record with_attempt(record so_far, attempt const& got)
+record with_attempt(record so_far, attempt const& received)
 {
     ++so_far.attempts;
-    so_far.cut_attempts += got.end == ending::cut ? 1 : 0;
-    so_far.end = got.end;
-    so_far.status = got.status;
-    so_far.code = got.code;
-    so_far.outcome = got.outcome;
-    if (got.end == ending::completed)
+    so_far.cut_attempts += received.end == ending::cut ? 1 : 0;
+    so_far.end = received.end;
+    so_far.status = received.status;
+    so_far.code = received.code;
+    so_far.outcome = received.outcome;
+    if (received.end == ending::completed)
     {
         so_far.outcome = "completed";
     }
-    if (!got.request_id.empty())
+    if (!received.request_id.empty())
     {
-        so_far.request_id = got.request_id;
+        so_far.request_id = received.request_id;
     }
-    so_far.prompt_tokens = got.answer.prompt_tokens;
-    so_far.completion_tokens = got.answer.completion_tokens;
-    so_far.gap_us = got.answer.gap_us;
+    so_far.prompt_tokens = received.answer.prompt_tokens;
+    so_far.completion_tokens = received.answer.completion_tokens;
+    so_far.gap_us = received.answer.gap_us;
     if (so_far.first_token_us < 0)
     {
-        so_far.first_token_us = got.answer.first_token_us;
+        so_far.first_token_us = received.answer.first_token_us;
     }
     return so_far;
 }
--- a/src/load/attempt.hpp
+++ b/src/load/attempt.hpp
@@ -30,20 +30,20 @@
 
 /// Returns how a chat attempt ended, from its status and response. Thread safe,
 /// pure.
-ending judge_chat(planned_request const& planned, attempt const& got);
+ending classify_chat(planned_request const& planned, attempt const& received);
 
 /// Returns true if a retry may help: after no response, a cut response, or a
 /// 429 or 5xx whose outcome is not "completed". Thread safe, pure.
-bool may_repeat(attempt const& got);
+bool may_retry(attempt const& received);
 
 /// Returns the backoff before attempt `next` (2 is the first retry): the larger
 /// of `retry_after` and the exponential backoff of `retries`, up to the maximum
 /// of `retries`. Thread safe, pure.
-duration wait_before(std::int64_t next, duration retry_after,
-                     retry_policy const& retries);
+duration backoff_before(std::int64_t next, duration retry_after,
+                        retry_policy const& retries);
 
 /// Returns `so_far` with one more attempt. Thread safe, pure.
-record with_attempt(record so_far, attempt const& got);
+record with_attempt(record so_far, attempt const& received);
 
 } // namespace caperpath::load
 
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -34,12 +34,12 @@
     return {seconds * ms_per_second};
 }
 
-void read_head(httplib::Response const& response, attempt& got)
+void read_head(httplib::Response const& response, attempt& received)
 {
-    got.status = response.status;
-    got.request_id = response.get_header_value("X-Request-Id");
-    got.outcome = response.get_header_value("Caperpath-Outcome");
-    got.retry_after = read_retry_after(response);
+    received.status = response.status;
+    received.request_id = response.get_header_value("X-Request-Id");
+    received.outcome = response.get_header_value("Caperpath-Outcome");
+    received.retry_after = read_retry_after(response);
 }
 
 httplib::Request make_request(customer_load const& sender,
@@ -97,15 +97,15 @@
         auto const turn = static_cast<std::size_t>(result.attempts);
         auto const router =
             (planned.first_router + turn) % this->plan.routers.size();
-        auto const got = this->send(planned, router);
-        result = with_attempt(std::move(result), got);
-        if (!may_repeat(got) ||
+        auto const received = this->send(planned, router);
+        result = with_attempt(std::move(result), received);
+        if (!may_retry(received) ||
             result.attempts == this->plan.retries.max_attempts)
         {
             break;
         }
-        auto const wait = wait_before(result.attempts + 1, got.retry_after,
-                                      this->plan.retries);
+        auto const wait = backoff_before(
+            result.attempts + 1, received.retry_after, this->plan.retries);
         std::this_thread::sleep_for(std::chrono::milliseconds{wait.ms});
     }
     if (result.first_token_us >= 0)
@@ -129,20 +129,20 @@
     auto const streamed = sender.kind == request_kind::stream;
     auto const deadline_us =
         this->watch.elapsed_us() + this->plan.request_timeout.ms * us_per_ms;
-    attempt got;
+    attempt received;
     stream_reader reader;
     std::string body;
     auto request = make_chat(sender, planned);
     request.response_handler = [&](httplib::Response const& response)
     {
-        read_head(response, got);
+        read_head(response, received);
         return true;
     };
     request.content_receiver =
         [&](char const* data, std::size_t size, std::uint64_t, std::uint64_t)
     {
         auto const now_us = this->watch.elapsed_us();
-        if (streamed && is_success(got.status))
+        if (streamed && is_success(received.status))
         {
             reader.feed({data, size}, now_us);
         }
@@ -153,21 +153,22 @@
         return now_us < deadline_us && body.size() <= max_body_bytes;
     };
     this->client(router).send(request);
-    if (!is_success(got.status))
+    if (!is_success(received.status))
     {
-        got.code = error_code(body);
+        received.code = error_code(body);
     }
     else
     {
-        got.answer = streamed ? reader.answer()
-                              : read_whole(body, this->watch.elapsed_us());
-        got.code = got.answer.error_code;
+        received.answer = streamed
+                              ? reader.answer()
+                              : read_complete(body, this->watch.elapsed_us());
+        received.code = received.answer.error_code;
         // The head of a stream is sent before its outcome is known, so the
         // outcome is in an error event.
-        got.outcome = got.answer.error_outcome;
+        received.outcome = received.answer.error_outcome;
     }
-    got.end = judge_chat(planned, got);
-    return got;
+    received.end = classify_chat(planned, received);
+    return received;
 }
 
 attempt caller::order(planned_request const& planned, std::size_t router)
@@ -177,20 +178,20 @@
     auto const request =
         make_request(sender, planned, path, {{"order", planned.key}});
     auto const result = this->client(router).send(request);
-    attempt got;
+    attempt received;
     if (!result)
     {
-        return got;
+        return received;
     }
-    read_head(*result, got);
-    if (is_success(got.status))
+    read_head(*result, received);
+    if (is_success(received.status))
     {
-        got.end = ending::completed;
-        return got;
+        received.end = ending::completed;
+        return received;
     }
-    got.end = ending::refused;
-    got.code = error_code(result->body);
-    return got;
+    received.end = ending::refused;
+    received.code = error_code(result->body);
+    return received;
 }
 
 httplib::Client& caller::client(std::size_t router)
--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -113,7 +113,7 @@
                 {"customers", json::object()},
                 {"first_token", to_object(read.first_token)},
                 {"token_gap", to_object(read.token_gap)},
-                {"short_answer", to_object(read.whole)},
+                {"short_answer", to_object(read.short_answer)},
                 {"order", to_object(read.order)},
                 {"start_lag", to_object(read.start_lag)},
                 {"orders", json::array()}};
@@ -160,7 +160,7 @@
     text += table_row({"milliseconds", "count", "p50", "p95", "p99", "max"});
     text += latency_row("first token", read.first_token);
     text += latency_row("token gap", read.token_gap);
-    text += latency_row("short answer", read.whole);
+    text += latency_row("short answer", read.short_answer);
     text += latency_row("order", read.order);
     text += latency_row("start lag of the tool", read.start_lag);
     text += "\n" + counts_line("refused by code", read.all.refusals);
--- a/src/load/scenario.cpp
+++ b/src/load/scenario.cpp
@@ -90,7 +90,7 @@
     read.max_attempts = reader.whole_or("max_attempts", "attempts", 1,
                                         max_attempts, read.max_attempts);
     read.first_wait = read_span(reader, "first_wait_ms", 1, read.first_wait);
-    read.most_wait = read_span(reader, "most_wait_ms", 1, read.most_wait);
+    read.max_wait = read_span(reader, "most_wait_ms", 1, read.max_wait);
     reader.finish();
     return read;
 }
--- a/src/load/scenario.hpp
+++ b/src/load/scenario.hpp
@@ -59,7 +59,7 @@
 {
     std::int64_t max_attempts{4};
     duration first_wait{100}; ///< doubles with each attempt
-    duration most_wait{5'000};
+    duration max_wait{5'000};
 
     friend bool operator==(retry_policy const&, retry_policy const&) = default;
 };
--- a/src/load/tally.cpp
+++ b/src/load/tally.cpp
@@ -77,7 +77,7 @@
 {
     latency first_token;
     latency token_gap;
-    latency whole;
+    latency short_answer;
     latency order;
     latency start_lag;
 };
@@ -109,7 +109,7 @@
     auto read = this->sums;
     read.first_token = this->watched->first_token.values();
     read.token_gap = this->watched->token_gap.values();
-    read.whole = this->watched->whole.values();
+    read.short_answer = this->watched->short_answer.values();
     read.order = this->watched->order.values();
     read.start_lag = this->watched->start_lag.values();
     return read;
@@ -134,7 +134,7 @@
         }
         break;
     case request_kind::short_answer:
-        this->watched->whole.add(one.total_us);
+        this->watched->short_answer.add(one.total_us);
         break;
     case request_kind::order:
         this->watched->order.add(one.total_us);
--- a/src/load/tally.hpp
+++ b/src/load/tally.hpp
@@ -58,11 +58,11 @@
 {
     totals all;
     std::map<std::string, totals> customers;
-    percentiles first_token; ///< of streams, from the intended start
-    percentiles token_gap;   ///< of streams
-    percentiles whole;       ///< of short answers, from the intended start
-    percentiles order;       ///< of orders, from the intended start
-    percentiles start_lag;   ///< delay of the tool: large if it is too busy
+    percentiles first_token;  ///< of streams, from the intended start
+    percentiles token_gap;    ///< of streams
+    percentiles short_answer; ///< of short answers, from the intended start
+    percentiles order;        ///< of orders, from the intended start
+    percentiles start_lag;    ///< delay of the tool: large if it is too busy
     std::vector<order_result> orders;
 
     friend bool operator==(results const&, results const&) = default;
--- a/src/stand_in/admin_routes.cpp
+++ b/src/stand_in/admin_routes.cpp
@@ -15,7 +15,7 @@
 {
 
 /// Rejects a request to a draining backend server; nothing was run.
-void reply_leaving(httplib::Response& response)
+void reply_draining(httplib::Response& response)
 {
     reply_not_run(response, "leaving, takes no new work");
     response.set_header("Caperpath-Leaving", "true");
@@ -32,11 +32,11 @@
         [kinds = std::move(kinds), accept = std::move(accept)](
             httplib::Request const& request, httplib::Response& response)
         {
-            std::vector<config::fault> wrong;
-            auto const fault = parse_fault(parse_body(request), kinds, wrong);
-            if (!wrong.empty())
+            std::vector<config::fault> errors;
+            auto const fault = parse_fault(parse_body(request), kinds, errors);
+            if (!errors.empty())
             {
-                reply_faults(response, wrong);
+                reply_faults(response, errors);
                 return;
             }
             accept(fault);
@@ -51,15 +51,15 @@
 }
 
 void add_outage(httplib::Server& server, fault_board& board,
-                std::vector<std::string> spared)
+                std::vector<std::string> exempt_paths)
 {
     server.set_pre_routing_handler(
-        [&board, spared = std::move(spared)](httplib::Request const& request,
-                                             httplib::Response&)
+        [&board, exempt_paths = std::move(exempt_paths)](
+            httplib::Request const& request, httplib::Response&)
         {
-            auto const kept =
-                std::find(spared.begin(), spared.end(), request.path);
-            if (kept != spared.end() || !board.take("outage"))
+            auto const exempt = std::find(exempt_paths.begin(),
+                                          exempt_paths.end(), request.path);
+            if (exempt != exempt_paths.end() || !board.take("outage"))
             {
                 return httplib::Server::HandlerResponse::Unhandled;
             }
@@ -76,11 +76,11 @@
         [&desk, changed = std::move(changed)](httplib::Request const& request,
                                               httplib::Response& response)
         {
-            std::vector<config::fault> wrong;
-            auto const order = parse_order(parse_body(request), wrong);
-            if (!wrong.empty())
+            std::vector<config::fault> errors;
+            auto const order = parse_order(parse_body(request), errors);
+            if (!errors.empty())
             {
-                reply_faults(response, wrong);
+                reply_faults(response, errors);
                 return;
             }
             auto const applied = desk.apply(order);
@@ -108,7 +108,7 @@
     }
     if (orders.leaving())
     {
-        reply_leaving(response);
+        reply_draining(response);
         return true;
     }
     return false;
--- a/src/stand_in/admin_routes.hpp
+++ b/src/stand_in/admin_routes.hpp
@@ -23,9 +23,9 @@
                       std::function<void(ordered_fault const&)> accept);
 
 /// During an outage, closes the connection of every call without a response,
-/// except for calls to `spared` paths.
+/// except for calls to `exempt_paths`.
 void add_outage(httplib::Server& server, fault_board& board,
-                std::vector<std::string> spared);
+                std::vector<std::string> exempt_paths);
 
 /// Registers `POST /orders`, which returns 409 for an old fencing number. Calls
 /// `changed` after a command was applied.
--- a/src/stand_in/answer.cpp
+++ b/src/stand_in/answer.cpp
@@ -16,7 +16,8 @@
 {
 
 constexpr std::int64_t bytes_per_token = 4;
-constexpr std::int64_t longest_answer = 471; // mean 236
+constexpr std::int64_t max_response_tokens =
+    471; // mean 236, as in users' traffic
 constexpr std::string_view length_mark = "[tokens=";
 constexpr std::size_t length_digits = 6;
 constexpr std::uint64_t token_mask = 0xffffff;
@@ -40,7 +41,7 @@
 }
 
 // Returns -1 if the prompt requests no length.
-std::int64_t asked_length(std::string_view prompt)
+std::int64_t requested_length(std::string_view prompt)
 {
     auto const mark = prompt.find(length_mark);
     if (mark == std::string_view::npos)
@@ -56,8 +57,8 @@
     std::int64_t length = 0;
     auto const* last = digits.data() + end;
     auto const parsed = std::from_chars(digits.data(), last, length);
-    auto const whole = parsed.ec == std::errc{} && parsed.ptr == last;
-    return whole && length >= 0 ? length : -1;
+    auto const complete = parsed.ec == std::errc{} && parsed.ptr == last;
+    return complete && length >= 0 ? length : -1;
 }
 
 } // namespace
@@ -88,12 +89,13 @@
 
 std::int64_t answer_length(std::string_view prompt)
 {
-    auto const asked = asked_length(prompt);
-    if (asked >= 0)
+    auto const requested = requested_length(prompt);
+    if (requested >= 0)
     {
-        return asked;
+        return requested;
     }
-    return 1 + static_cast<std::int64_t>(answer_seed(prompt) % longest_answer);
+    return 1 +
+           static_cast<std::int64_t>(answer_seed(prompt) % max_response_tokens);
 }
 
 std::uint64_t answer_seed(std::string_view prompt)
--- a/src/stand_in/answer_stream.cpp
+++ b/src/stand_in/answer_stream.cpp
@@ -16,7 +16,7 @@
 {
 
 // Interval between checks whether the caller disconnected or the process stops.
-constexpr duration look_around{100};
+constexpr duration poll_interval{100};
 
 std::string event(std::string const& data)
 {
@@ -25,7 +25,7 @@
 
 // Returns the document after the start of its member "caperpath", which sorts
 // first. A chunk inserts its offset before this text.
-std::string after_mark(nlohmann::json const& head)
+std::string without_mark(nlohmann::json const& head)
 {
     constexpr std::string_view mark = R"({"caperpath":{)";
     return "," + head.dump().substr(mark.size());
@@ -37,7 +37,7 @@
                              answer_form form)
     : source{std::move(source)}, form{std::move(form)},
       seed{answer_seed(this->source->request.prompt)},
-      chunk_tail{after_mark(this->head("chat.completion.chunk"))},
+      chunk_tail{without_mark(this->head("chat.completion.chunk"))},
       next{this->source->request.first}
 {
 }
@@ -50,17 +50,18 @@
         this->form.streamed || this->faults.cut >= 0 || this->faults.silent >= 0
             ? this->next
             : this->source->request.last;
-    auto const seen = this->source->wait(awaited, look_around);
+    auto const seen = this->source->wait(awaited, poll_interval);
     this->cached_tokens = seen.cached_tokens;
     auto const reached =
         (this->form.streamed ? this->next : seen.produced) - first;
-    if (this->strikes(this->faults.cut, reached))
+    if (this->reaches(this->faults.cut, reached))
     {
         return false;
     }
-    if (this->strikes(this->faults.silent, reached))
+    if (this->reaches(this->faults.silent, reached))
     {
-        std::this_thread::sleep_for(std::chrono::milliseconds{look_around.ms});
+        std::this_thread::sleep_for(
+            std::chrono::milliseconds{poll_interval.ms});
         return sink.writable();
     }
     if (seen.state == generation_state::cancelled || !sink.writable())
@@ -78,7 +79,7 @@
     return seen.state == generation_state::running || this->send_end(sink);
 }
 
-bool answer_stream::strikes(std::atomic<std::int64_t> const& fault,
+bool answer_stream::reaches(std::atomic<std::int64_t> const& fault,
                             std::int64_t reached) const
 {
     auto const at = fault.load();
@@ -94,8 +95,8 @@
             return false;
         }
         auto const sent = this->next - this->source->request.first;
-        if (this->strikes(this->faults.cut, sent) ||
-            this->strikes(this->faults.silent, sent))
+        if (this->reaches(this->faults.cut, sent) ||
+            this->reaches(this->faults.silent, sent))
         {
             return true; // the next call applies the fault
         }
--- a/src/stand_in/answer_stream.hpp
+++ b/src/stand_in/answer_stream.hpp
@@ -63,7 +63,7 @@
     bool send_tokens(byte_sink const& sink, std::int64_t produced);
     bool send_token(byte_sink const& sink);
     bool send_end(byte_sink const& sink);
-    bool strikes(std::atomic<std::int64_t> const& fault,
+    bool reaches(std::atomic<std::int64_t> const& fault,
                  std::int64_t reached) const;
     std::string chunk(std::int64_t offset, std::string const& text) const;
     std::string foreign_chunk(std::int64_t offset) const;
--- a/src/stand_in/chat_request.cpp
+++ b/src/stand_in/chat_request.cpp
@@ -14,10 +14,10 @@
 namespace
 {
 
-constexpr std::int64_t most_tokens = 1'000'000;
-constexpr std::int64_t most_attempts = 1'000'000;
-constexpr std::int64_t largest_priority = 1'000;
-constexpr std::size_t longest_id = 200;
+constexpr std::int64_t token_limit = 1'000'000;
+constexpr std::int64_t max_attempts = 1'000'000;
+constexpr std::int64_t max_priority = 1'000;
+constexpr std::size_t max_id_length = 200;
 constexpr std::int64_t ms_per_second = 1'000;
 
 std::int64_t whole_header(httplib::Request const& request, char const* name,
@@ -60,7 +60,7 @@
     auto const* const key = reader.has("max_completion_tokens")
                                 ? "max_completion_tokens"
                                 : "max_tokens";
-    return reader.whole_or(key, "tokens", 1, most_tokens, most_tokens);
+    return reader.whole_or(key, "tokens", 1, token_limit, token_limit);
 }
 
 // The id is copied to JSON and headers, so it must be printable ASCII.
@@ -71,10 +71,10 @@
     auto const plain =
         std::all_of(id.begin(), id.end(),
                     [](char letter) { return letter > ' ' && letter <= '~'; });
-    if (!plain || id.size() > longest_id)
+    if (!plain || id.size() > max_id_length)
     {
         faults.push_back({"X-Request-Id", "expected up to " +
-                                              std::to_string(longest_id) +
+                                              std::to_string(max_id_length) +
                                               " printable ASCII characters"});
     }
     return id;
@@ -116,12 +116,11 @@
     chat.form.finish_reason = length > max_tokens ? "length" : "stop";
     generation.request = read_request_id(request, faults);
     generation.attempt =
-        whole_header(request, "Caperpath-Attempt", 1, most_attempts, 1, faults);
+        whole_header(request, "Caperpath-Attempt", 1, max_attempts, 1, faults);
     generation.first = whole_header(request, "Caperpath-Resume-Offset", 0,
                                     generation.last, 0, faults);
-    generation.priority =
-        whole_header(request, "Caperpath-Priority", -largest_priority,
-                     largest_priority, 0, faults);
+    generation.priority = whole_header(request, "Caperpath-Priority",
+                                       -max_priority, max_priority, 0, faults);
     return chat;
 }
 
--- a/src/stand_in/engine.cpp
+++ b/src/stand_in/engine.cpp
@@ -14,10 +14,10 @@
 namespace
 {
 
-constexpr std::size_t runs_kept = 100'000;
+constexpr std::size_t max_counted_runs = 100'000;
 // Threads for idle connections and calls besides chat.
 constexpr std::size_t spare_threads = 1'000;
-constexpr std::int64_t most_attempts = 1'000'000;
+constexpr std::int64_t max_attempts = 1'000'000;
 
 std::vector<std::string> const& fault_kinds()
 {
@@ -55,7 +55,7 @@
       cache{this->settings.cache_capacity,
             {this->settings.event_lag, this->settings.event_gap_percent},
             time},
-      history{time, this->settings.load_lag}, runs{runs_kept},
+      history{time, this->settings.load_lag}, runs{max_counted_runs},
       batch{this->settings, time, this->hooks()}, server{options_of(
                                                       this->settings)}
 {
@@ -138,22 +138,22 @@
 
 void engine::chat(httplib::Request const& request, httplib::Response& response)
 {
-    std::vector<config::fault> wrong;
-    auto parsed = parse_chat(request, parse_body(request), wrong);
-    if (!wrong.empty())
+    std::vector<config::fault> errors;
+    auto parsed = parse_chat(request, parse_body(request), errors);
+    if (!errors.empty())
     {
-        reply_faults(response, wrong);
+        reply_faults(response, errors);
         return;
     }
     auto& wanted = parsed.generation;
     if (wanted.request.empty())
     {
-        wanted.request =
-            this->settings.name + "-" + std::to_string(++this->unnamed);
+        wanted.request = this->settings.name + "-" +
+                         std::to_string(++this->requests_without_id);
     }
     response.set_header("X-Request-Id", wanted.request);
     response.set_header("Caperpath-Attempt", std::to_string(wanted.attempt));
-    if (this->refuse_chat(parsed.form.model, response))
+    if (this->reject_chat(parsed.form.model, response))
     {
         return;
     }
@@ -166,7 +166,7 @@
     this->answer(source, parsed.form, response);
 }
 
-bool engine::refuse_chat(std::string const& model, httplib::Response& response)
+bool engine::reject_chat(std::string const& model, httplib::Response& response)
 {
     if (refused_by_order(this->faults, this->orders, this->stopping, response))
     {
@@ -229,7 +229,7 @@
 {
     if (fault.count == 0)
     {
-        this->strike_open(fault);
+        this->apply_to_open(fault);
     }
     // Silence without a count affects only the streams that are open now.
     if (fault.kind != "silent" || fault.count > 0)
@@ -238,7 +238,7 @@
     }
 }
 
-void engine::strike_open(ordered_fault const& fault)
+void engine::apply_to_open(ordered_fault const& fault)
 {
     std::lock_guard const lock{this->open_mutex};
     for (auto const& weak : this->open)
@@ -272,15 +272,15 @@
                     httplib::Response& response)
 {
     auto const body = parse_body(request);
-    std::vector<config::fault> wrong;
-    config::json_reader reader{body, "", wrong};
+    std::vector<config::fault> errors;
+    config::json_reader reader{body, "", errors};
     auto const id = reader.text("request");
     auto const attempt =
-        reader.whole_or("attempt", "attempts", 1, most_attempts, 0);
+        reader.whole_or("attempt", "attempts", 1, max_attempts, 0);
     reader.finish();
-    if (!wrong.empty())
+    if (!errors.empty())
     {
-        reply_faults(response, wrong);
+        reply_faults(response, errors);
         return;
     }
     reply_json(response, 200, {{"cancelled", this->batch.cancel(id, attempt)}});
--- a/src/stand_in/engine.hpp
+++ b/src/stand_in/engine.hpp
@@ -45,12 +45,12 @@
 private:
     void add_routes();
     void chat(httplib::Request const& request, httplib::Response& response);
-    bool refuse_chat(std::string const& model, httplib::Response& response);
+    bool reject_chat(std::string const& model, httplib::Response& response);
     void answer(std::shared_ptr<generation> const& source, answer_form form,
                 httplib::Response& response);
     void take_faults(stream_faults& faults);
     void accept_fault(ordered_fault const& fault);
-    void strike_open(ordered_fault const& fault);
+    void apply_to_open(ordered_fault const& fault);
     void cut_open();
     void cancel(httplib::Request const& request, httplib::Response& response);
     void stats(httplib::Response& response) const;
@@ -67,7 +67,7 @@
     prefix_cache cache;
     load_history history;
     run_counter runs;
-    std::atomic<std::uint64_t> unnamed{0}; // requests without an id
+    std::atomic<std::uint64_t> requests_without_id{0}; // requests without an id
     stop_signal stopping;
     std::mutex open_mutex;
     std::vector<std::weak_ptr<answer_stream>> open;
--- a/src/stand_in/engine_reports.cpp
+++ b/src/stand_in/engine_reports.cpp
@@ -46,15 +46,15 @@
         reply_faults(response, {{"after", "expected a whole number"}});
         return;
     }
-    auto const told = this->cache.events_after(after);
+    auto const delivered = this->cache.events_after(after);
     auto events = nlohmann::json::array();
-    for (auto const& event : told.events)
+    for (auto const& event : delivered.events)
     {
         events.push_back({{"seq", event.sequence},
                           {"kind", event.stored ? "stored" : "evicted"},
                           {"prefix", std::to_string(event.prefix)}});
     }
-    reply_json(response, 200, {{"events", events}, {"next", told.next}});
+    reply_json(response, 200, {{"events", events}, {"next", delivered.next}});
 }
 
 void engine::models(httplib::Response& response) const
--- a/src/stand_in/engine_settings.cpp
+++ b/src/stand_in/engine_settings.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr std::int64_t longest_ms = 600'000;
-constexpr std::int64_t most_slots = 10'000;
-constexpr std::int64_t largest_cache = 100'000'000;
+constexpr std::int64_t max_ms = 600'000;
+constexpr std::int64_t max_slots = 10'000;
+constexpr std::int64_t max_cache_tokens = 100'000'000;
 
 } // namespace
 
@@ -34,34 +34,36 @@
                                       std::vector<config::fault>& faults)
 {
     config::json_reader reader{document, "", faults};
-    engine_settings const usual;
+    engine_settings const defaults;
     engine_settings settings;
     auto const span = [&reader](std::string_view key, duration fallback)
     {
         return duration{
-            reader.whole_or(key, "milliseconds", 0, longest_ms, fallback.ms)};
+            reader.whole_or(key, "milliseconds", 0, max_ms, fallback.ms)};
     };
     settings.listen = read_listen(reader);
     settings.name = reader.text("name");
     settings.model = reader.text("model");
     settings.slots =
-        reader.whole_or("slots", "requests", 1, most_slots, usual.slots);
-    settings.max_queue = reader.whole_or("max_queue", "requests", 0, most_slots,
-                                         usual.max_queue);
+        reader.whole_or("slots", "requests", 1, max_slots, defaults.slots);
+    settings.max_queue = reader.whole_or("max_queue", "requests", 0, max_slots,
+                                         defaults.max_queue);
     settings.prefill_per_1000_tokens =
-        span("prefill_ms_per_1000_tokens", usual.prefill_per_1000_tokens);
-    settings.first_token = span("first_token_ms", usual.first_token);
-    settings.token_time = span("token_ms", usual.token_time);
-    settings.batch_slope_percent = reader.whole_or(
-        "batch_slope_percent", "percent", 0, 10'000, usual.batch_slope_percent);
-    settings.cache_capacity = reader.whole_or(
-        "cache_capacity", "tokens", 0, largest_cache, usual.cache_capacity);
-    settings.load_lag = span("load_lag_ms", usual.load_lag);
-    settings.event_lag = span("event_lag_ms", usual.event_lag);
+        span("prefill_ms_per_1000_tokens", defaults.prefill_per_1000_tokens);
+    settings.first_token = span("first_token_ms", defaults.first_token);
+    settings.token_time = span("token_ms", defaults.token_time);
+    settings.batch_slope_percent =
+        reader.whole_or("batch_slope_percent", "percent", 0, 10'000,
+                        defaults.batch_slope_percent);
+    settings.cache_capacity =
+        reader.whole_or("cache_capacity", "tokens", 0, max_cache_tokens,
+                        defaults.cache_capacity);
+    settings.load_lag = span("load_lag_ms", defaults.load_lag);
+    settings.event_lag = span("event_lag_ms", defaults.event_lag);
     settings.event_gap_percent = reader.whole_or(
-        "event_gap_percent", "percent", 0, 100, usual.event_gap_percent);
+        "event_gap_percent", "percent", 0, 100, defaults.event_gap_percent);
     settings.checks_fencing =
-        reader.boolean_or("checks_fencing", usual.checks_fencing);
+        reader.boolean_or("checks_fencing", defaults.checks_fencing);
     reader.finish();
     return settings;
 }
--- a/src/stand_in/fault_board.cpp
+++ b/src/stand_in/fault_board.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr std::int64_t longest_ms = 3'600'000;
-constexpr std::int64_t most_requests = 1'000'000;
-constexpr std::int64_t largest_factor = 10'000;
+constexpr std::int64_t max_ms = 3'600'000;
+constexpr std::int64_t max_requests = 1'000'000;
+constexpr std::int64_t max_factor = 10'000;
 
 } // namespace
 
@@ -31,12 +31,12 @@
                                               : "unknown, did you mean \"" +
                                                     nearest + "\"?");
     }
-    fault.span = {reader.whole_or("ms", "milliseconds", 0, longest_ms, 0)};
-    fault.count = reader.whole_or("count", "requests", 0, most_requests, 0);
+    fault.span = {reader.whole_or("ms", "milliseconds", 0, max_ms, 0)};
+    fault.count = reader.whole_or("count", "requests", 0, max_requests, 0);
     fault.after_tokens =
-        reader.whole_or("after_tokens", "tokens", 0, most_requests, 0);
+        reader.whole_or("after_tokens", "tokens", 0, max_requests, 0);
     fault.factor =
-        reader.whole_or("factor", "times the token time", 1, largest_factor, 1);
+        reader.whole_or("factor", "times the token time", 1, max_factor, 1);
     reader.finish();
     return fault;
 }
@@ -53,14 +53,14 @@
     {
         fault.ends = this->time.now() + fault.span;
     }
-    this->standing.push_back(std::move(fault));
+    this->active.push_back(std::move(fault));
 }
 
 void fault_board::clear()
 {
     std::lock_guard const lock{this->mutex};
-    this->standing.clear();
-    ++this->cleared;
+    this->active.clear();
+    ++this->clear_count;
 }
 
 std::optional<ordered_fault> fault_board::take(std::string_view kind)
@@ -76,28 +76,28 @@
 std::uint64_t fault_board::generation() const
 {
     std::lock_guard const lock{this->mutex};
-    return this->cleared;
+    return this->clear_count;
 }
 
 std::optional<ordered_fault> fault_board::find(std::string_view kind,
-                                               bool strike)
+                                               bool consume)
 {
     std::lock_guard const lock{this->mutex};
     auto const now = this->time.now();
-    std::erase_if(this->standing, [now](ordered_fault const& fault)
+    std::erase_if(this->active, [now](ordered_fault const& fault)
                   { return fault.ends && *fault.ends <= now; });
-    auto const found = std::find_if(
-        this->standing.begin(), this->standing.end(),
-        [kind](ordered_fault const& fault) { return fault.kind == kind; });
-    if (found == this->standing.end())
+    auto const found = std::find_if(this->active.begin(), this->active.end(),
+                                    [kind](ordered_fault const& fault)
+                                    { return fault.kind == kind; });
+    if (found == this->active.end())
     {
         return std::nullopt;
     }
     auto fault = *found;
     // Count 0 never runs out; count 1 is the last use.
-    if (strike && found->count > 0 && --found->count == 0)
+    if (consume && found->count > 0 && --found->count == 0)
     {
-        this->standing.erase(found);
+        this->active.erase(found);
     }
     return fault;
 }
--- a/src/stand_in/fault_board.hpp
+++ b/src/stand_in/fault_board.hpp
@@ -57,12 +57,12 @@
     std::uint64_t generation() const;
 
 private:
-    std::optional<ordered_fault> find(std::string_view kind, bool strike);
+    std::optional<ordered_fault> find(std::string_view kind, bool consume);
 
     clock time;
     mutable std::mutex mutex;
-    std::vector<ordered_fault> standing;
-    std::uint64_t cleared{0};
+    std::vector<ordered_fault> active;
+    std::uint64_t clear_count{0};
 };
 
 } // namespace caperpath::stand_in
--- a/src/stand_in/load_history.hpp
+++ b/src/stand_in/load_history.hpp
@@ -28,7 +28,7 @@
 public:
     load_history(clock time, duration lag);
 
-    /// Records a change; `change` modifies a copy of the newest sample.
+    /// Records a change; `change` receives the newest sample.
     void update(std::function<void(load_sample&)> const& change);
 
     /// Returns the load as it was `lag` ago.
--- a/src/stand_in/order_desk.cpp
+++ b/src/stand_in/order_desk.cpp
@@ -54,12 +54,12 @@
 bool order_desk::apply(backend_order const& order)
 {
     std::lock_guard const lock{this->mutex};
-    if (this->checks_fencing && order.fencing < this->largest)
+    if (this->checks_fencing && order.fencing < this->largest_fencing)
     {
-        ++this->refused;
+        ++this->rejected;
         return false;
     }
-    this->largest = std::max(this->largest, order.fencing);
+    this->largest_fencing = std::max(this->largest_fencing, order.fencing);
     ++this->applied;
     if (order.kind == "load_model")
     {
@@ -75,7 +75,7 @@
     }
     else
     {
-        this->left = order.kind == "leave";
+        this->draining = order.kind == "leave";
     }
     return true;
 }
@@ -83,7 +83,7 @@
 bool order_desk::leaving() const
 {
     std::lock_guard const lock{this->mutex};
-    return this->left;
+    return this->draining;
 }
 
 bool order_desk::has_model(std::string const& model) const
@@ -101,12 +101,12 @@
 nlohmann::json order_desk::state() const
 {
     std::lock_guard const lock{this->mutex};
-    return {{"largest_fencing", this->largest},
+    return {{"largest_fencing", this->largest_fencing},
             {"applied", this->applied},
-            {"refused", this->refused},
+            {"refused", this->rejected},
             {"models", this->loaded},
             {"role", this->role},
-            {"leaving", this->left}};
+            {"leaving", this->draining}};
 }
 
 } // namespace caperpath::stand_in
--- a/src/stand_in/order_desk.hpp
+++ b/src/stand_in/order_desk.hpp
@@ -51,10 +51,10 @@
     mutable std::mutex mutex;
     std::set<std::string> loaded;
     std::string role{"mixed"};
-    bool left{false};
-    std::int64_t largest{0};
+    bool draining{false};
+    std::int64_t largest_fencing{0};
     std::int64_t applied{0};
-    std::int64_t refused{0};
+    std::int64_t rejected{0};
 };
 
 } // namespace caperpath::stand_in
--- a/src/stand_in/prefix_cache.cpp
+++ b/src/stand_in/prefix_cache.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr std::size_t bytes_per_block = 4 * cache_block_tokens;
-constexpr std::size_t events_kept = 100'000;
+constexpr std::size_t max_events = 100'000;
 constexpr std::uint64_t percent = 100;
 
 // The sequence number determines which events are lost: runs are reproducible.
@@ -95,7 +95,7 @@
         return;
     }
     this->events.push_back({number, stored, block, this->time.now()});
-    if (this->events.size() > events_kept)
+    if (this->events.size() > max_events)
     {
         this->events.pop_front();
     }
@@ -111,7 +111,7 @@
 {
     std::lock_guard const lock{this->mutex};
     auto const until = this->time.now() - this->delivery.lag;
-    published told{{}, sequence};
+    published delivered{{}, sequence};
     for (auto const& event : this->events)
     {
         if (event.at > until)
@@ -120,11 +120,11 @@
         }
         if (event.sequence > sequence)
         {
-            told.events.push_back(event);
-            told.next = event.sequence;
+            delivered.events.push_back(event);
+            delivered.next = event.sequence;
         }
     }
-    return told;
+    return delivered;
 }
 
 } // namespace caperpath::stand_in
--- a/src/stand_in/service.cpp
+++ b/src/stand_in/service.cpp
@@ -15,10 +15,10 @@
 namespace
 {
 
-constexpr std::size_t keys_kept = 1'000'000;
-constexpr std::int64_t longest_ms = 600'000;
-constexpr std::int64_t most_slots = 10'000;
-constexpr duration look_around{50}; // interval of checks for cleared faults
+constexpr std::size_t max_counted_keys = 1'000'000;
+constexpr std::int64_t max_ms = 600'000;
+constexpr std::int64_t max_slots = 10'000;
+constexpr duration poll_interval{50}; // interval of checks for cleared faults
 
 std::string key_of(httplib::Request const& request)
 {
@@ -34,18 +34,18 @@
                                         std::vector<config::fault>& faults)
 {
     config::json_reader reader{document, "", faults};
-    service_settings const usual;
+    service_settings const defaults;
     service_settings settings;
     settings.listen = read_listen(reader);
     settings.name = reader.text("name");
-    settings.work = {reader.whole_or("work_ms", "milliseconds", 0, longest_ms,
-                                     usual.work.ms)};
+    settings.work = {reader.whole_or("work_ms", "milliseconds", 0, max_ms,
+                                     defaults.work.ms)};
     settings.slots =
-        reader.whole_or("slots", "calls", 1, most_slots, usual.slots);
+        reader.whole_or("slots", "calls", 1, max_slots, defaults.slots);
     settings.load_lag = {reader.whole_or("load_lag_ms", "milliseconds", 0,
-                                         longest_ms, usual.load_lag.ms)};
+                                         max_ms, defaults.load_lag.ms)};
     settings.checks_fencing =
-        reader.boolean_or("checks_fencing", usual.checks_fencing);
+        reader.boolean_or("checks_fencing", defaults.checks_fencing);
     reader.finish();
     return settings;
 }
@@ -53,7 +53,7 @@
 service::service(service_settings settings, clock const& time)
     : settings{std::move(settings)}, faults{time},
       orders{this->settings.checks_fencing, ""},
-      history{time, this->settings.load_lag}, executions{keys_kept}
+      history{time, this->settings.load_lag}, executions{max_counted_keys}
 {
     this->add_routes();
 }
@@ -109,7 +109,7 @@
 
 void service::call(httplib::Request const& request, httplib::Response& response)
 {
-    if (this->refuse(response))
+    if (this->reject(response))
     {
         return;
     }
@@ -124,7 +124,7 @@
     this->count_running(-1);
 }
 
-bool service::refuse(httplib::Response& response)
+bool service::reject(httplib::Response& response)
 {
     return refused_by_order(this->faults, this->orders, this->stopping,
                             response);
@@ -145,10 +145,10 @@
                 {"method", request.method},
                 {"path", request.path},
                 {"body", request.body}});
-    this->lose_answer(request);
+    this->drop_response(request);
 }
 
-void service::lose_answer(httplib::Request const& request)
+void service::drop_response(httplib::Request const& request)
 {
     if (this->faults.take("drop_answer"))
     {
@@ -162,7 +162,7 @@
     // without a response.
     auto const before = this->faults.generation();
     while (this->faults.generation() == before &&
-           !this->stopping.wait(look_around))
+           !this->stopping.wait(poll_interval))
     {
     }
     http::cut_connection(request);
--- a/src/stand_in/service.hpp
+++ b/src/stand_in/service.hpp
@@ -59,9 +59,9 @@
 private:
     void add_routes();
     void call(httplib::Request const& request, httplib::Response& response);
-    bool refuse(httplib::Response& response);
+    bool reject(httplib::Response& response);
     void run(httplib::Request const& request, httplib::Response& response);
-    void lose_answer(httplib::Request const& request);
+    void drop_response(httplib::Request const& request);
     std::int64_t count_running(std::int64_t change);
     void load(httplib::Response& response) const;
 
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -78,10 +78,10 @@
 {
     CPPUNIT_TEST_SUITE(server_test);
     CPPUNIT_TEST(an_address_is_bound_once);
-    CPPUNIT_TEST(a_large_answer_is_not_compressed);
-    CPPUNIT_TEST(an_answer_under_way_at_a_stop_arrives_whole);
-    CPPUNIT_TEST(a_stream_that_begins_after_a_stop_arrives_whole);
-    CPPUNIT_TEST(connections_that_wait_at_a_stop_are_served);
+    CPPUNIT_TEST(a_large_response_is_not_compressed);
+    CPPUNIT_TEST(a_response_in_progress_at_a_stop_completes);
+    CPPUNIT_TEST(a_stream_that_begins_after_a_stop_completes);
+    CPPUNIT_TEST(queued_connections_are_served_at_a_stop);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr int most_tries = 1'000;
@@ -150,7 +150,7 @@
 
     // Common clients accept compressed responses. Compressing 200 KB takes
     // 208 ms of processor time, which delays all other callers.
-    void a_large_answer_is_not_compressed()
+    void a_large_response_is_not_compressed()
     {
         http::server server;
         std::string const body(200'000, 'x');
@@ -169,7 +169,7 @@
     }
 
     // Guards against the library omitting the body once its server stops.
-    void an_answer_under_way_at_a_stop_arrives_whole()
+    void a_response_in_progress_at_a_stop_completes()
     {
         std::string const body(200'000, 'x');
         auto const got = answer_during_stop(
@@ -181,7 +181,7 @@
 
     // Guards against the same for a chunked body whose first chunk is written
     // after the server has begun to stop.
-    void a_stream_that_begins_after_a_stop_arrives_whole()
+    void a_stream_that_begins_after_a_stop_completes()
     {
         auto const got = answer_during_stop(
             [](httplib::Response& response)
@@ -203,7 +203,7 @@
 
     // Guards against the loss of connections that the kernel has established
     // but the accept loop has not accepted when the server stops.
-    void connections_that_wait_at_a_stop_are_served()
+    void queued_connections_are_served_at_a_stop()
     {
         constexpr std::size_t callers = 100;
         http::server server;
--- a/tests/load/answer_reader_test.cpp
+++ b/tests/load/answer_reader_test.cpp
@@ -63,13 +63,13 @@
 class answer_reader_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(answer_reader_test);
-    CPPUNIT_TEST(pieces_do_not_matter);
+    CPPUNIT_TEST(splitting_does_not_matter);
     CPPUNIT_TEST(a_stream_that_ends_early_is_cut);
-    CPPUNIT_TEST(a_doubled_missing_or_foreign_token_is_wrong);
+    CPPUNIT_TEST(a_duplicate_missing_or_foreign_token_is_wrong);
     CPPUNIT_TEST(a_wrong_count_is_wrong);
     CPPUNIT_TEST_SUITE_END();
 
-    void pieces_do_not_matter()
+    void splitting_does_not_matter()
     {
         CPPUNIT_ASSERT(rc::check(
             []
@@ -85,8 +85,8 @@
                     at += size;
                 }
                 RC_ASSERT(reader.answer() == read(bytes));
-                RC_ASSERT(judge(prompt, count, reader.answer()) ==
-                          verdict::whole);
+                RC_ASSERT(check_response(prompt, count, reader.answer()) ==
+                          verdict::complete);
             }));
     }
 
@@ -102,7 +102,8 @@
                 auto const bytes = stream_of(tokens_of(prompt, count), count);
                 auto const kept =
                     *rc::gen::inRange<std::size_t>(0, bytes.size() - 2);
-                RC_ASSERT(judge(prompt, count, read(bytes.substr(0, kept))) ==
+                RC_ASSERT(check_response(prompt, count,
+                                         read(bytes.substr(0, kept))) ==
                           verdict::cut);
             }));
     }
@@ -110,7 +111,7 @@
     // After a failover the new engine starts at the wrong token, or a late
     // response reaches another request. The caller receives text that the
     // engine never generated for this prompt.
-    void a_doubled_missing_or_foreign_token_is_wrong()
+    void a_duplicate_missing_or_foreign_token_is_wrong()
     {
         CPPUNIT_ASSERT(rc::check(
             []
@@ -134,7 +135,8 @@
                                   count)[static_cast<std::size_t>(place)];
                 }
                 auto const answer = read(stream_of(tokens, count));
-                RC_ASSERT(judge(prompt, count, answer) == verdict::wrong);
+                RC_ASSERT(check_response(prompt, count, answer) ==
+                          verdict::wrong);
             }));
     }
 
@@ -142,7 +144,7 @@
     {
         auto const prompt = make_prompt("mine", 3);
         auto const answer = read(stream_of(tokens_of(prompt, 3), 4));
-        CPPUNIT_ASSERT(judge(prompt, 3, answer) == verdict::wrong);
+        CPPUNIT_ASSERT(check_response(prompt, 3, answer) == verdict::wrong);
     }
 };
 
--- a/tests/load/run_test.cpp
+++ b/tests/load/run_test.cpp
@@ -80,10 +80,10 @@
 {
     CPPUNIT_TEST_SUITE(run_test);
     CPPUNIT_TEST(a_run_can_be_replayed);
-    CPPUNIT_TEST(names_every_fault);
-    CPPUNIT_TEST(repeats_elsewhere_with_the_same_key);
-    CPPUNIT_TEST(does_not_repeat_what_is_final);
-    CPPUNIT_TEST(waits_as_asked);
+    CPPUNIT_TEST(reports_every_fault);
+    CPPUNIT_TEST(retries_at_the_next_router_with_the_same_key);
+    CPPUNIT_TEST(does_not_retry_a_final_outcome);
+    CPPUNIT_TEST(backs_off_as_requested);
     CPPUNIT_TEST_SUITE_END();
 
     void a_run_can_be_replayed()
@@ -104,7 +104,7 @@
         CPPUNIT_ASSERT(all.size() > 340 && all.size() < 460);
     }
 
-    void names_every_fault()
+    void reports_every_fault()
     {
         auto const value = nlohmann::json::parse(R"({
             "routers": ["localhost:1"], "arrivals_per_second": 0,
@@ -126,7 +126,7 @@
 
     // A router is busy or down. The caller must retry at the next router with
     // the same key; with a new key the order could run twice.
-    void repeats_elsewhere_with_the_same_key()
+    void retries_at_the_next_router_with_the_same_key()
     {
         fake_router busy{503, "not-run"};
         fake_router works{200, ""};
@@ -138,7 +138,7 @@
         CPPUNIT_ASSERT(works.keys == busy.keys);
     }
 
-    void does_not_repeat_what_is_final()
+    void does_not_retry_a_final_outcome()
     {
         fake_router exhausted{402, "not-run"};
         auto const refused = send_order({exhausted.address});
@@ -149,13 +149,13 @@
                              send_order({ran.address}).attempts);
     }
 
-    void waits_as_asked()
+    void backs_off_as_requested()
     {
         retry_policy const retries{5, {100}, {5'000}};
-        CPPUNIT_ASSERT(wait_before(2, {0}, retries) == duration{100});
-        CPPUNIT_ASSERT(wait_before(4, {0}, retries) == duration{400});
-        CPPUNIT_ASSERT(wait_before(2, {3'000}, retries) == duration{3'000});
-        CPPUNIT_ASSERT(wait_before(99, {0}, retries) == duration{5'000});
+        CPPUNIT_ASSERT(backoff_before(2, {0}, retries) == duration{100});
+        CPPUNIT_ASSERT(backoff_before(4, {0}, retries) == duration{400});
+        CPPUNIT_ASSERT(backoff_before(2, {3'000}, retries) == duration{3'000});
+        CPPUNIT_ASSERT(backoff_before(99, {0}, retries) == duration{5'000});
     }
 };
 
--- a/tests/observe/command_line_test.cpp
+++ b/tests/observe/command_line_test.cpp
@@ -12,10 +12,10 @@
 class command_line_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(command_line_test);
-    CPPUNIT_TEST(good_settings_run);
+    CPPUNIT_TEST(valid_settings_run);
     CPPUNIT_TEST(check_ends_before_the_run);
-    CPPUNIT_TEST(every_fault_is_named);
-    CPPUNIT_TEST(a_wrong_command_line_ends_with_2);
+    CPPUNIT_TEST(every_fault_is_reported);
+    CPPUNIT_TEST(an_invalid_command_line_exits_with_2);
     CPPUNIT_TEST(help_and_version_need_no_settings);
     CPPUNIT_TEST_SUITE_END();
 
@@ -51,7 +51,7 @@
             });
     }
 
-    void good_settings_run()
+    void valid_settings_run()
     {
         auto const file = settings_file(R"({"limit": 7})");
         CPPUNIT_ASSERT_EQUAL(ran, run({"--settings", file.c_str()}));
@@ -65,7 +65,7 @@
 
     // An operator mistypes two keys. All errors are reported with their paths
     // before anything runs, so that one correction is enough.
-    void every_fault_is_named()
+    void every_fault_is_reported()
     {
         auto const file = settings_file(R"({"limti": 7})");
         std::ostringstream seen;
@@ -79,7 +79,7 @@
             seen.str());
     }
 
-    void a_wrong_command_line_ends_with_2()
+    void an_invalid_command_line_exits_with_2()
     {
         auto const broken = settings_file(R"({"limit": )");
         CPPUNIT_ASSERT_EQUAL(2, run({"--settings", broken.c_str()}));
--- a/tests/observe/trace_test.cpp
+++ b/tests/observe/trace_test.cpp
@@ -49,8 +49,8 @@
     CPPUNIT_TEST(malformed_starts_a_new_trace);
     CPPUNIT_TEST(span_line_round_trip);
     CPPUNIT_TEST(file_sink_writes_each_span_once);
-    CPPUNIT_TEST(a_full_disk_is_counted);
-    CPPUNIT_TEST(a_stuck_file_holds_up_nobody);
+    CPPUNIT_TEST(spans_lost_to_a_full_disk_are_counted);
+    CPPUNIT_TEST(a_hanging_disk_does_not_block_requests);
     CPPUNIT_TEST_SUITE_END();
 
     void traceparent_round_trip()
@@ -156,7 +156,7 @@
 
     // The disk of the span file is full. Requests continue, and the lost spans
     // are counted in the metrics.
-    void a_full_disk_is_counted()
+    void spans_lost_to_a_full_disk_are_counted()
     {
         auto const sink = make_file_sink("/dev/full", 100).value();
         sink.record(make_span("lost"));
@@ -166,7 +166,7 @@
 
     // The disk hangs: a write neither fails nor returns. Requests must not wait
     // for it; spans that do not fit into the queue are dropped and counted.
-    void a_stuck_file_holds_up_nobody()
+    void a_hanging_disk_does_not_block_requests()
     {
         auto const fifo = std::filesystem::temp_directory_path() /
                           ("stuck-" + std::to_string(::getpid()));
--- a/tests/stand_in/chat_client.hpp
+++ b/tests/stand_in/chat_client.hpp
@@ -79,15 +79,15 @@
             {"stream_options", {{"include_usage", true}}}};
 }
 
-/// Calls `POST /v1/chat/completions` streamed. Calls `seen` after each piece,
-/// which returns false to disconnect.
+/// Calls `POST /v1/chat/completions` streamed; disconnects if `on_piece`, called
+/// after each piece, returns false.
 inline received stream_chat(
     int port, nlohmann::json const& body, httplib::Headers const& headers = {},
-    std::function<bool(received const&)> const& seen = [](received const&)
+    std::function<bool(received const&)> const& on_piece = [](received const&)
     { return true; })
 {
     httplib::Client client{"127.0.0.1", port};
-    received got;
+    received result;
     httplib::Request request;
     request.method = "POST";
     request.path = "/v1/chat/completions";
@@ -96,21 +96,21 @@
     request.set_header("Content-Type", "application/json");
     request.response_handler = [&](httplib::Response const& response)
     {
-        got.status = response.status;
-        got.headers = response.headers;
+        result.status = response.status;
+        result.headers = response.headers;
         return true;
     };
     request.content_receiver =
         [&](char const* data, std::size_t size, std::uint64_t, std::uint64_t)
     {
-        if (got.status == 200)
+        if (result.status == 200)
         {
-            got.add({data, size});
+            result.add({data, size});
         }
-        return seen(got);
+        return on_piece(result);
     };
     client.send(request);
-    return got;
+    return result;
 }
 
 inline httplib::Result post(int port, std::string const& path,
@@ -124,8 +124,8 @@
 inline nlohmann::json get(int port, std::string const& path)
 {
     httplib::Client client{"127.0.0.1", port};
-    auto const answer = client.Get(path);
-    return answer ? nlohmann::json::parse(answer->body) : nlohmann::json{};
+    auto const response = client.Get(path);
+    return response ? nlohmann::json::parse(response->body) : nlohmann::json{};
 }
 
 inline nlohmann::json example(std::string const& name)
--- a/tests/stand_in/engine_faults_test.cpp
+++ b/tests/stand_in/engine_faults_test.cpp
@@ -13,21 +13,21 @@
 class engine_faults_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(engine_faults_test);
-    CPPUNIT_TEST(a_cut_stream_goes_on_at_its_offset);
+    CPPUNIT_TEST(a_cut_stream_resumes_at_its_offset);
     CPPUNIT_TEST(a_silent_stream_leaves_new_ones_working);
-    CPPUNIT_TEST(chunks_can_be_made_wrong);
+    CPPUNIT_TEST(chunks_can_be_corrupted);
     CPPUNIT_TEST(cancel_ends_one_attempt);
-    CPPUNIT_TEST(leaving_ends_open_streams_whole);
-    CPPUNIT_TEST(old_orders_are_refused_only_where_checked);
+    CPPUNIT_TEST(draining_completes_open_streams);
+    CPPUNIT_TEST(old_commands_are_rejected_only_with_the_check);
     CPPUNIT_TEST(faults_end_when_cleared);
     CPPUNIT_TEST_SUITE_END();
 
     // The engine's machine dies in the middle of a response and the connection
     // closes. A retry with the offset of the first missing token must return
     // the rest without duplicates.
-    void a_cut_stream_goes_on_at_its_offset()
+    void a_cut_stream_resumes_at_its_offset()
     {
-        running_engine const engine{quick()};
+        running_engine const engine{instant_settings()};
         auto const content = std::string{"plan [tokens=9]"};
         post(engine.port, "/faults",
              {{"kind", "cut"}, {"after_tokens", 4}, {"count", 1}});
@@ -37,14 +37,15 @@
         auto const rest = stream_chat(engine.port, chat_body(content, true),
                                       {{"Caperpath-Resume-Offset", "4"}});
         CPPUNIT_ASSERT(rest.done);
-        CPPUNIT_ASSERT_EQUAL(whole_answer(content), half.text() + rest.text());
+        CPPUNIT_ASSERT_EQUAL(expected_response(content),
+                             half.text() + rest.text());
     }
 
     // A network device has lost the state of an open connection: it stays open
     // but delivers nothing, while new connections work.
     void a_silent_stream_leaves_new_ones_working()
     {
-        running_engine engine{quick()};
+        running_engine engine{instant_settings()};
         post(engine.port, "/faults",
              {{"kind", "silent"}, {"after_tokens", 3}, {"count", 1}});
         received silent;
@@ -67,16 +68,16 @@
         engine.fake.stop();
         waiting.join();
         CPPUNIT_ASSERT(fresh.done);
-        CPPUNIT_ASSERT_EQUAL(whole_answer(content), fresh.text());
+        CPPUNIT_ASSERT_EQUAL(expected_response(content), fresh.text());
         CPPUNIT_ASSERT(!silent.done);
         CPPUNIT_ASSERT(silent.offsets() == (offsets{0, 1, 2}));
     }
 
     // A broken engine mixes up its streams. A router that forwards unchecked
     // chunks would deliver another caller's tokens, duplicates or gaps.
-    void chunks_can_be_made_wrong()
+    void chunks_can_be_corrupted()
     {
-        running_engine const engine{quick()};
+        running_engine const engine{instant_settings()};
         auto const strike = [&](std::string const& kind)
         {
             post(engine.port, "/faults",
@@ -99,7 +100,7 @@
 
     void cancel_ends_one_attempt()
     {
-        running_engine const engine{paced()};
+        running_engine const engine{slow_settings()};
         nlohmann::json other;
         nlohmann::json own;
         auto const got = stream_chat(
@@ -128,9 +129,9 @@
 
     // An engine starts draining while it streams a response. The open stream
     // must complete; new requests are rejected without being run.
-    void leaving_ends_open_streams_whole()
+    void draining_completes_open_streams()
     {
-        running_engine const engine{paced()};
+        running_engine const engine{slow_settings()};
         auto const content = std::string{"open [tokens=100]"};
         auto const order = [&](char const* kind)
         {
@@ -149,7 +150,7 @@
                 return true;
             });
         CPPUNIT_ASSERT(open.done);
-        CPPUNIT_ASSERT_EQUAL(whole_answer(content), open.text());
+        CPPUNIT_ASSERT_EQUAL(expected_response(content), open.text());
         CPPUNIT_ASSERT_EQUAL(503, refused.status);
         CPPUNIT_ASSERT(refused.headers.contains("Caperpath-Leaving"));
         CPPUNIT_ASSERT(refused.headers.contains("Caperpath-Not-Run"));
@@ -162,11 +163,11 @@
     // A paused router resumes and sends a command after a later lease holder
     // has sent its own. An engine with the fencing check rejects it; one
     // without applies it and loads the wrong model.
-    void old_orders_are_refused_only_where_checked()
+    void old_commands_are_rejected_only_with_the_check()
     {
         for (auto const checks : {true, false})
         {
-            auto settings = quick();
+            auto settings = instant_settings();
             settings.checks_fencing = checks;
             running_engine const engine{settings};
             auto const load = [&](int fencing, char const* model)
@@ -191,7 +192,7 @@
     // the faults are cleared, everything works again.
     void faults_end_when_cleared()
     {
-        running_engine const engine{quick()};
+        running_engine const engine{instant_settings()};
         auto const ask = [&]
         {
             return stream_chat(engine.port, chat_body("b [tokens=2]", true));
--- a/tests/stand_in/engine_test.cpp
+++ b/tests/stand_in/engine_test.cpp
@@ -16,18 +16,18 @@
 class engine_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(engine_test);
-    CPPUNIT_TEST(answers_follow_from_the_prompt);
-    CPPUNIT_TEST(callers_at_once_get_their_own_answers);
+    CPPUNIT_TEST(the_prompt_determines_the_response);
+    CPPUNIT_TEST(concurrent_callers_get_their_own_responses);
     CPPUNIT_TEST(larger_priority_goes_first);
     CPPUNIT_TEST(a_full_queue_runs_nothing);
     CPPUNIT_TEST(repeated_prompts_are_cached);
-    CPPUNIT_TEST(wrong_requests_name_the_field);
+    CPPUNIT_TEST(invalid_requests_report_the_field);
     CPPUNIT_TEST(example_settings_load);
     CPPUNIT_TEST_SUITE_END();
 
-    void answers_follow_from_the_prompt()
+    void the_prompt_determines_the_response()
     {
-        running_engine const engine{quick()};
+        running_engine const engine{instant_settings()};
         auto const holds = rc::check(
             [&](std::string const& noise)
             {
@@ -63,10 +63,10 @@
         CPPUNIT_ASSERT(holds);
     }
 
-    void callers_at_once_get_their_own_answers()
+    void concurrent_callers_get_their_own_responses()
     {
         constexpr int callers = 60;
-        auto settings = paced();
+        auto settings = slow_settings();
         settings.slots = 8;
         running_engine const engine{settings};
         std::atomic<int> right{0};
@@ -82,7 +82,7 @@
                     auto const got =
                         stream_chat(engine.port, chat_body(content, true),
                                     {{"X-Request-Id", id}});
-                    auto const own = got.text() == whole_answer(content) &&
+                    auto const own = got.text() == expected_response(content) &&
                                      got.events[0]["id"] == "chatcmpl-" + id;
                     right += own && got.done ? 1 : 0;
                 });
@@ -111,7 +111,7 @@
                                     [] { return 1.0; },
                                     [](std::int64_t, std::int64_t) {
                                     }};
-        auto settings = paced();
+        auto settings = slow_settings();
         settings.slots = 1;
         scheduler batch{settings, clock::monotonic(), hooks};
         auto const first = batch.submit({"first", 1, 0, "", 0, 1'000'000});
@@ -132,7 +132,7 @@
     // and a caller who disconnects must free the slot.
     void a_full_queue_runs_nothing()
     {
-        auto settings = paced();
+        auto settings = slow_settings();
         settings.slots = 1;
         settings.max_queue = 0;
         running_engine const engine{settings};
@@ -162,7 +162,7 @@
 
     void repeated_prompts_are_cached()
     {
-        running_engine const engine{quick()};
+        running_engine const engine{instant_settings()};
         auto const body = chat_body(std::string(640, 'p') + "[tokens=1]", true);
         auto const cached = [&]
         {
@@ -183,9 +183,9 @@
         CPPUNIT_ASSERT_EQUAL(4, told["events"][0]["seq"].get<int>());
     }
 
-    void wrong_requests_name_the_field()
+    void invalid_requests_report_the_field()
     {
-        running_engine const engine{quick()};
+        running_engine const engine{instant_settings()};
         auto const field = [&](std::string const& path,
                                nlohmann::json const& body,
                                httplib::Headers const& headers = {})
--- a/tests/stand_in/lag_test.cpp
+++ b/tests/stand_in/lag_test.cpp
@@ -33,7 +33,7 @@
     CPPUNIT_TEST_SUITE(lag_test);
     CPPUNIT_TEST(events_replay_to_the_cache);
     CPPUNIT_TEST(events_are_late_and_have_gaps);
-    CPPUNIT_TEST(load_is_told_as_it_was);
+    CPPUNIT_TEST(load_is_reported_with_its_lag);
     CPPUNIT_TEST_SUITE_END();
 
     // Replaying the events gives the exact cache contents: a prompt's hit is as
@@ -98,7 +98,7 @@
         CPPUNIT_ASSERT(told < blocks * 95 / 100);
     }
 
-    void load_is_told_as_it_was()
+    void load_is_reported_with_its_lag()
     {
         std::int64_t now = 0;
         load_history history{caperpath::clock{[&now]
--- a/tests/stand_in/running_engine.hpp
+++ b/tests/stand_in/running_engine.hpp
@@ -18,7 +18,7 @@
 using offsets = std::vector<std::int64_t>;
 
 // Settings without delays or lags, so that tests do not wait.
-inline engine_settings quick()
+inline engine_settings instant_settings()
 {
     engine_settings settings;
     settings.prefill_per_1000_tokens = {0};
@@ -31,9 +31,9 @@
 }
 
 // Settings with which a long response stays open while a test inspects it.
-inline engine_settings paced()
+inline engine_settings slow_settings()
 {
-    auto settings = quick();
+    auto settings = instant_settings();
     settings.token_time = {1};
     return settings;
 }
@@ -49,7 +49,7 @@
     int port;
 };
 
-inline std::string whole_answer(std::string const& content)
+inline std::string expected_response(std::string const& content)
 {
     auto const prompt = content + "\n";
     return answer_text(prompt, 0, answer_length(prompt));
--- a/tests/stand_in/service_test.cpp
+++ b/tests/stand_in/service_test.cpp
@@ -44,14 +44,14 @@
 class service_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(service_test);
-    CPPUNIT_TEST(says_what_it_ran);
-    CPPUNIT_TEST(a_lost_answer_has_run);
-    CPPUNIT_TEST(silence_has_run_and_ends_when_cleared);
-    CPPUNIT_TEST(what_is_refused_has_not_run);
+    CPPUNIT_TEST(reports_what_it_ran);
+    CPPUNIT_TEST(a_call_with_a_lost_response_has_run);
+    CPPUNIT_TEST(a_silent_call_has_run_and_ends_when_cleared);
+    CPPUNIT_TEST(a_rejected_call_has_not_run);
     CPPUNIT_TEST(example_settings_load);
     CPPUNIT_TEST_SUITE_END();
 
-    void says_what_it_ran()
+    void reports_what_it_ran()
     {
         running_service const service;
         service.order("k");
@@ -69,7 +69,7 @@
 
     // The call runs, then the connection breaks before the response. A caller
     // that retries after the break runs the call twice.
-    void a_lost_answer_has_run()
+    void a_call_with_a_lost_response_has_run()
     {
         running_service const service;
         post(service.port, "/faults", {{"kind", "drop_answer"}, {"count", 1}});
@@ -81,7 +81,7 @@
 
     // The call runs, but the connection stays open without a response. The
     // caller cannot know whether the call ran.
-    void silence_has_run_and_ends_when_cleared()
+    void a_silent_call_has_run_and_ends_when_cleared()
     {
         running_service const service;
         post(service.port, "/faults", {{"kind", "silent"}, {"count", 1}});
@@ -103,7 +103,7 @@
 
     // A service that fails, is down or is draining rejects a call. It must not
     // have run the call, and the draining one reports that.
-    void what_is_refused_has_not_run()
+    void a_rejected_call_has_not_run()
     {
         running_service const service;
         post(service.port, "/faults", {{"kind", "error"}, {"count", 1}});
