--- a/src/observe/command_line.cpp
+++ b/src/observe/command_line.cpp
@@ -26,7 +26,7 @@
         ->type_name("FILE")
         ->required();
     app.add_flag("--check", parsed.check_only,
-                 "check the settings, report every fault and exit");
+                 "check the settings, name every fault and end");
 }
 
 std::optional<nlohmann::json> load(std::string const& file,
--- a/tools/engine/main.cpp
+++ b/tools/engine/main.cpp
@@ -10,7 +10,7 @@
 {
     observe::program const self{
         "caperpath-engine",
-        "An emulator of a model engine, with a fault interface."};
+        "A program that emulates a model engine, with a fault interface."};
     return observe::run_program<stand_in::engine_settings>(
         self, argc, argv, &stand_in::parse_engine_settings,
         [](stand_in::engine_settings const& settings)
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -35,7 +35,7 @@
         ->type_name("FILE")
         ->required();
     app.add_flag("--check", chosen.check_only,
-                 "check the scenario, report every fault and exit");
+                 "check the scenario, name every fault and end");
     app.add_option("--json", chosen.json_file, "write the results as JSON")
         ->type_name("FILE");
     app.add_option("--requests", chosen.requests_file,
@@ -54,7 +54,7 @@
     auto const value = nlohmann::json::parse(input, nullptr, false);
     if (value.is_discarded())
     {
-        faults.push_back({file, "cannot be read, or is not JSON"});
+        faults.push_back({file, "cannot be read, or is no JSON"});
         return {};
     }
     return load::read_scenario(value, faults);
@@ -111,8 +111,8 @@
 {
     options chosen;
     CLI::App app{"Sends requests to routers at a given rate, checks every "
-                 "response and reports the results.\nExit codes: 0 done, 1 "
-                 "a caller got a wrong response, 2 bad scenario or file.",
+                 "answer and reports what came back.\nExit codes: 0 done, 1 "
+                 "a caller got a wrong answer, 2 bad scenario or file.",
                  "caperpath-load"};
     declare(app, chosen);
     try
--- a/tools/service/main.cpp
+++ b/tools/service/main.cpp
@@ -10,7 +10,7 @@
 {
     observe::program const self{
         "caperpath-service",
-        "An emulator of a plain service, with a fault interface."};
+        "A program that emulates a plain service, with a fault interface."};
     return observe::run_program<stand_in::service_settings>(
         self, argc, argv, &stand_in::parse_service_settings,
         [](stand_in::service_settings const& settings)
--- a/tools/trace/main.cpp
+++ b/tools/trace/main.cpp
@@ -63,7 +63,7 @@
     }
     if (state.bad_lines > 0)
     {
-        std::cerr << state.bad_lines << " lines skipped that are not spans\n";
+        std::cerr << state.bad_lines << " lines are no spans, skipped\n";
     }
     auto const roots =
         observe::build_tree(std::move(state.spans), chosen.request);
@@ -91,7 +91,7 @@
         ->required()
         ->expected(1, -1);
     app.add_option("REQUEST_ID", chosen.request,
-                   "the value of X-Request-Id in the response")
+                   "the value of X-Request-Id in the answer")
         ->required();
     app.add_flag("--json", chosen.json, "print JSON");
     CLI11_PARSE(app, argc, argv);
