--- a/tests/stand_in/chat_client.hpp
+++ b/tests/stand_in/chat_client.hpp
@@ -79,8 +79,8 @@
             {"stream_options", {{"include_usage", true}}}};
 }
 
-/// Calls `POST /v1/chat/completions` streamed; disconnects if `on_piece`, called
-/// after each piece, returns false.
+/// Calls `POST /v1/chat/completions` streamed; disconnects if `on_piece`,
+/// called after each piece, returns false.
 inline received stream_chat(
     int port, nlohmann::json const& body, httplib::Headers const& headers = {},
     std::function<bool(received const&)> const& on_piece = [](received const&)
