--- a/src/load/tally.cpp
+++ b/src/load/tally.cpp
@@ -13,15 +13,15 @@
 
 constexpr double us_per_ms = 1'000.0;
 
-// Quantiles with a bounded error of the rank, in bounded memory. P-square
-// estimators (Boost.Accumulators) need less, but on latencies with two humps,
-// which a failover makes, their error has no bound.
+// Quantiles with a bounded rank error, in bounded memory. P-square estimators
+// (Boost.Accumulators) need less memory, but their error is unbounded on the
+// bimodal latencies that a failover causes.
 prometheus::Summary::Quantiles quantiles()
 {
     return {{0.5, 0.005}, {0.95, 0.001}, {0.99, 0.0005}};
 }
 
-// One window that no run outlasts: nothing is forgotten.
+// Longer than any run, so that no sample expires.
 constexpr std::chrono::hours window{24 * 30};
 
 class latency
@@ -77,7 +77,7 @@
 {
     latency first_token;
     latency token_gap;
-    latency whole;
+    latency short_answer;
     latency order;
     latency start_lag;
 };
@@ -109,14 +109,14 @@
     auto read = this->sums;
     read.first_token = this->watched->first_token.values();
     read.token_gap = this->watched->token_gap.values();
-    read.whole = this->watched->whole.values();
+    read.short_answer = this->watched->short_answer.values();
     read.order = this->watched->order.values();
     read.start_lag = this->watched->start_lag.values();
     return read;
 }
 
-// A refusal is quick and a cut stream short: counted in, they would make a
-// failing fleet look fast.
+// Skips rejections and cut streams: they are short, and would make a failing
+// fleet look fast.
 void tally::add_latencies(record const& one, request_kind kind)
 {
     this->watched->start_lag.add(one.start_lag_us);
@@ -134,7 +134,7 @@
         }
         break;
     case request_kind::short_answer:
-        this->watched->whole.add(one.total_us);
+        this->watched->short_answer.add(one.total_us);
         break;
     case request_kind::order:
         this->watched->order.add(one.total_us);
--- a/src/stand_in/answer_stream.cpp
+++ b/src/stand_in/answer_stream.cpp
@@ -15,18 +15,17 @@
 namespace
 {
 
-// How long a connection may go on without looking whether its caller left or
-// the process stops.
-constexpr duration look_around{100};
+// Interval between checks whether the caller disconnected or the process stops.
+constexpr duration poll_interval{100};
 
 std::string event(std::string const& data)
 {
     return "data: " + data + "\n\n";
 }
 
-// The document from its member "caperpath" on, which JSON's order of names puts
-// first: a chunk's offset goes before it.
-std::string after_mark(nlohmann::json const& head)
+// Returns the document after the start of its member "caperpath", which sorts
+// first. A chunk inserts its offset before this text.
+std::string without_mark(nlohmann::json const& head)
 {
     constexpr std::string_view mark = R"({"caperpath":{)";
     return "," + head.dump().substr(mark.size());
@@ -38,7 +37,7 @@
                              answer_form form)
     : source{std::move(source)}, form{std::move(form)},
       seed{answer_seed(this->source->request.prompt)},
-      chunk_tail{after_mark(this->head("chat.completion.chunk"))},
+      chunk_tail{without_mark(this->head("chat.completion.chunk"))},
       next{this->source->request.first}
 {
 }
@@ -46,22 +45,23 @@
 bool answer_stream::advance(byte_sink const& sink)
 {
     auto const first = this->source->request.first;
-    // A whole answer waits for the last token, a stream for the next one.
+    // A response in one piece waits for the last token, a stream for the next.
     auto const awaited =
         this->form.streamed || this->faults.cut >= 0 || this->faults.silent >= 0
             ? this->next
             : this->source->request.last;
-    auto const seen = this->source->wait(awaited, look_around);
+    auto const seen = this->source->wait(awaited, poll_interval);
     this->cached_tokens = seen.cached_tokens;
     auto const reached =
         (this->form.streamed ? this->next : seen.produced) - first;
-    if (this->strikes(this->faults.cut, reached))
+    if (this->reaches(this->faults.cut, reached))
     {
         return false;
     }
-    if (this->strikes(this->faults.silent, reached))
+    if (this->reaches(this->faults.silent, reached))
     {
-        std::this_thread::sleep_for(std::chrono::milliseconds{look_around.ms});
+        std::this_thread::sleep_for(
+            std::chrono::milliseconds{poll_interval.ms});
         return sink.writable();
     }
     if (seen.state == generation_state::cancelled || !sink.writable())
@@ -79,7 +79,7 @@
     return seen.state == generation_state::running || this->send_end(sink);
 }
 
-bool answer_stream::strikes(std::atomic<std::int64_t> const& fault,
+bool answer_stream::reaches(std::atomic<std::int64_t> const& fault,
                             std::int64_t reached) const
 {
     auto const at = fault.load();
@@ -95,10 +95,10 @@
             return false;
         }
         auto const sent = this->next - this->source->request.first;
-        if (this->strikes(this->faults.cut, sent) ||
-            this->strikes(this->faults.silent, sent))
+        if (this->reaches(this->faults.cut, sent) ||
+            this->reaches(this->faults.silent, sent))
         {
-            return true; // the next call sees it
+            return true; // the next call applies the fault
         }
     }
     return true;
@@ -160,9 +160,9 @@
              {{"request", request.request}, {"attempt", request.attempt}}}};
 }
 
-// Put together by hand: building and writing a JSON document for each token
-// takes most of the engine's own time with 1,000 open streams. A token holds
-// nothing that JSON would escape.
+// Concatenates the chunk: with 1,000 open streams, serialising a JSON document
+// for each token would take most of the engine's processor time. A token
+// contains nothing that JSON escapes.
 std::string answer_stream::chunk(std::int64_t offset,
                                  std::string const& text) const
 {
@@ -216,7 +216,7 @@
 nlohmann::json answer_stream::usage() const
 {
     auto const prompt = prompt_tokens(this->source->request.prompt);
-    // Counted from token 0 also when resumed: it is what the answer cost.
+    // Counts from token 0 even if resumed: the price of the complete response.
     auto const completion = this->source->request.last;
     return {
         {"prompt_tokens", prompt},
--- a/src/stand_in/engine.hpp
+++ b/src/stand_in/engine.hpp
@@ -22,10 +22,10 @@
 namespace caperpath::stand_in
 {
 
-/// A stand-in for a model engine: an OpenAI chat endpoint over continuous
-/// batching by a stated service-time model (see `engine_settings`), and a
-/// fault interface. It computes no model: the answer follows from the prompt
-/// (see `answer.hpp`). Thread safe.
+/// Emulator of a model engine: an OpenAI chat endpoint over continuous batching
+/// with a service-time model (see `engine_settings`), and a fault interface. It
+/// runs no model: the prompt determines the response (see `answer.hpp`).
+/// Thread safe.
 class engine
 {
 public:
@@ -35,21 +35,22 @@
     engine(engine const&) = delete;
     engine& operator=(engine const&) = delete;
 
-    /// Serves on the address of the settings; returns the port or -1.
+    /// Serves on the configured address. Returns the port, or -1 if it cannot
+    /// be bound.
     int start();
 
-    /// Cuts what is open and joins. Idempotent.
+    /// Cuts open streams and joins the threads. Idempotent.
     void stop();
 
 private:
     void add_routes();
     void chat(httplib::Request const& request, httplib::Response& response);
-    bool refuse_chat(std::string const& model, httplib::Response& response);
+    bool reject_chat(std::string const& model, httplib::Response& response);
     void answer(std::shared_ptr<generation> const& source, answer_form form,
                 httplib::Response& response);
     void take_faults(stream_faults& faults);
     void accept_fault(ordered_fault const& fault);
-    void strike_open(ordered_fault const& fault);
+    void apply_to_open(ordered_fault const& fault);
     void cut_open();
     void cancel(httplib::Request const& request, httplib::Response& response);
     void stats(httplib::Response& response) const;
@@ -66,7 +67,7 @@
     prefix_cache cache;
     load_history history;
     run_counter runs;
-    std::atomic<std::uint64_t> unnamed{0}; // requests without an id
+    std::atomic<std::uint64_t> requests_without_id{0}; // requests without an id
     stop_signal stopping;
     std::mutex open_mutex;
     std::vector<std::weak_ptr<answer_stream>> open;
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -19,11 +19,11 @@
 namespace
 {
 
-// A connection on which a test sends any bytes.
-class raw_caller
+// A connection on which a test sends arbitrary bytes.
+class raw_client
 {
 public:
-    explicit raw_caller(int port) : socket{::socket(AF_INET, SOCK_STREAM, 0)}
+    explicit raw_client(int port) : socket{::socket(AF_INET, SOCK_STREAM, 0)}
     {
         sockaddr_in peer{};
         peer.sin_family = AF_INET;
@@ -34,16 +34,16 @@
                                         sizeof(peer)));
     }
 
-    raw_caller(raw_caller&& other) noexcept
+    raw_client(raw_client&& other) noexcept
         : socket{std::exchange(other.socket, -1)}
     {
     }
 
-    raw_caller(raw_caller const&) = delete;
-    raw_caller& operator=(raw_caller const&) = delete;
-    raw_caller& operator=(raw_caller&&) = delete;
+    raw_client(raw_client const&) = delete;
+    raw_client& operator=(raw_client const&) = delete;
+    raw_client& operator=(raw_client&&) = delete;
 
-    ~raw_caller()
+    ~raw_client()
     {
         if (this->socket >= 0)
         {
@@ -78,10 +78,10 @@
 {
     CPPUNIT_TEST_SUITE(server_test);
     CPPUNIT_TEST(an_address_is_bound_once);
-    CPPUNIT_TEST(a_large_answer_is_not_compressed);
-    CPPUNIT_TEST(an_answer_under_way_at_a_stop_arrives_whole);
-    CPPUNIT_TEST(a_stream_that_begins_after_a_stop_arrives_whole);
-    CPPUNIT_TEST(connections_that_wait_at_a_stop_are_served);
+    CPPUNIT_TEST(a_large_response_is_not_compressed);
+    CPPUNIT_TEST(a_response_in_progress_at_a_stop_completes);
+    CPPUNIT_TEST(a_stream_that_begins_after_a_stop_completes);
+    CPPUNIT_TEST(queued_connections_are_served_at_a_stop);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr int most_tries = 1'000;
@@ -98,8 +98,8 @@
         return !answer && answer.error() == httplib::Error::Connection;
     }
 
-    /// The body that a caller gets from a handler that ends only after the
-    /// server has begun to stop, or how the call failed.
+    /// Returns the body received from a handler that ends only after the
+    /// server has begun to stop, or the error of the call.
     static std::string answer_during_stop(
         std::function<void(httplib::Response&)> const& make_answer)
     {
@@ -136,8 +136,8 @@
     }
 
     // A second router is started on a VM by mistake while the first one runs.
-    // If both could listen on the port, the second would take the first for
-    // dead and hand its share of a budget to others while it is still spent.
+    // If both could listen on the port, the second would consider the first
+    // dead and give away its share of a budget while the first still spends it.
     void an_address_is_bound_once()
     {
         http::server first;
@@ -148,9 +148,9 @@
                              second.bind("127.0.0.1:" + std::to_string(port)));
     }
 
-    // Ordinary clients say that they take compressed answers. Compressing one
-    // of 200 KB took 208 ms of processor time, which every other caller waits.
-    void a_large_answer_is_not_compressed()
+    // Common clients accept compressed responses. Compressing 200 KB takes
+    // 208 ms of processor time, which delays all other callers.
+    void a_large_response_is_not_compressed()
     {
         http::server server;
         std::string const body(200'000, 'x');
@@ -168,8 +168,8 @@
         CPPUNIT_ASSERT(answer->body == body);
     }
 
-    // Guards against a library that writes no body once its server stops.
-    void an_answer_under_way_at_a_stop_arrives_whole()
+    // Guards against the library omitting the body once its server stops.
+    void a_response_in_progress_at_a_stop_completes()
     {
         std::string const body(200'000, 'x');
         auto const got = answer_during_stop(
@@ -179,9 +179,9 @@
         CPPUNIT_ASSERT(body == got);
     }
 
-    // Guards against the same for a body in chunks, whose first one comes after
-    // the server has begun to stop.
-    void a_stream_that_begins_after_a_stop_arrives_whole()
+    // Guards against the same for a chunked body whose first chunk is written
+    // after the server has begun to stop.
+    void a_stream_that_begins_after_a_stop_completes()
     {
         auto const got = answer_during_stop(
             [](httplib::Response& response)
@@ -201,16 +201,16 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"piece piece piece "}, got);
     }
 
-    // Guards against requests that the kernel has taken and the accept loop has
-    // not when the server stops.
-    void connections_that_wait_at_a_stop_are_served()
+    // Guards against the loss of connections that the kernel has established
+    // but the accept loop has not accepted when the server stops.
+    void queued_connections_are_served_at_a_stop()
     {
         constexpr std::size_t callers = 100;
         http::server server;
         server.Get("/", [](httplib::Request const&, httplib::Response& response)
                    { http::set_body(response, "served", "text/plain"); });
         int const port = server.bind("127.0.0.1:0");
-        std::vector<raw_caller> waiting;
+        std::vector<raw_client> waiting;
         for (std::size_t i = 0; i < callers; ++i)
         {
             waiting.emplace_back(port).send(
--- a/tests/load/run_test.cpp
+++ b/tests/load/run_test.cpp
@@ -36,7 +36,8 @@
     return all;
 }
 
-// A router that answers every order alike and keeps the keys it saw.
+// A fake router that sends the same response to every order and records the
+// keys.
 struct fake_router
 {
     fake_router(int status, std::string const& outcome)
@@ -79,10 +80,10 @@
 {
     CPPUNIT_TEST_SUITE(run_test);
     CPPUNIT_TEST(a_run_can_be_replayed);
-    CPPUNIT_TEST(names_every_fault);
-    CPPUNIT_TEST(repeats_elsewhere_with_the_same_key);
-    CPPUNIT_TEST(does_not_repeat_what_is_final);
-    CPPUNIT_TEST(waits_as_asked);
+    CPPUNIT_TEST(reports_every_fault);
+    CPPUNIT_TEST(retries_at_the_next_router_with_the_same_key);
+    CPPUNIT_TEST(does_not_retry_a_final_outcome);
+    CPPUNIT_TEST(backs_off_as_requested);
     CPPUNIT_TEST_SUITE_END();
 
     void a_run_can_be_replayed()
@@ -99,11 +100,11 @@
             last_us = one.start_us;
         }
         CPPUNIT_ASSERT_EQUAL(all.size(), keys.size());
-        // 20 a second for 20 s; the seed gives one number, near the mean.
+        // 20 per second for 20 s; the seed fixes the number, near the mean.
         CPPUNIT_ASSERT(all.size() > 340 && all.size() < 460);
     }
 
-    void names_every_fault()
+    void reports_every_fault()
     {
         auto const value = nlohmann::json::parse(R"({
             "routers": ["localhost:1"], "arrivals_per_second": 0,
@@ -123,9 +124,9 @@
         CPPUNIT_ASSERT(paths == expected);
     }
 
-    // A router is busy, or gone. The caller goes to the next with the key it
-    // had; with a new key the parts would be ordered twice.
-    void repeats_elsewhere_with_the_same_key()
+    // A router is busy or down. The caller must retry at the next router with
+    // the same key; with a new key the order could run twice.
+    void retries_at_the_next_router_with_the_same_key()
     {
         fake_router busy{503, "not-run"};
         fake_router works{200, ""};
@@ -137,7 +138,7 @@
         CPPUNIT_ASSERT(works.keys == busy.keys);
     }
 
-    void does_not_repeat_what_is_final()
+    void does_not_retry_a_final_outcome()
     {
         fake_router exhausted{402, "not-run"};
         auto const refused = send_order({exhausted.address});
@@ -148,13 +149,13 @@
                              send_order({ran.address}).attempts);
     }
 
-    void waits_as_asked()
+    void backs_off_as_requested()
     {
         retry_policy const retries{5, {100}, {5'000}};
-        CPPUNIT_ASSERT(wait_before(2, {0}, retries) == duration{100});
-        CPPUNIT_ASSERT(wait_before(4, {0}, retries) == duration{400});
-        CPPUNIT_ASSERT(wait_before(2, {3'000}, retries) == duration{3'000});
-        CPPUNIT_ASSERT(wait_before(99, {0}, retries) == duration{5'000});
+        CPPUNIT_ASSERT(backoff_before(2, {0}, retries) == duration{100});
+        CPPUNIT_ASSERT(backoff_before(4, {0}, retries) == duration{400});
+        CPPUNIT_ASSERT(backoff_before(2, {3'000}, retries) == duration{3'000});
+        CPPUNIT_ASSERT(backoff_before(99, {0}, retries) == duration{5'000});
     }
 };
 
--- a/tests/observe/trace_test.cpp
+++ b/tests/observe/trace_test.cpp
@@ -49,8 +49,8 @@
     CPPUNIT_TEST(malformed_starts_a_new_trace);
     CPPUNIT_TEST(span_line_round_trip);
     CPPUNIT_TEST(file_sink_writes_each_span_once);
-    CPPUNIT_TEST(a_full_disk_is_counted);
-    CPPUNIT_TEST(a_stuck_file_holds_up_nobody);
+    CPPUNIT_TEST(spans_lost_to_a_full_disk_are_counted);
+    CPPUNIT_TEST(a_hanging_disk_does_not_block_requests);
     CPPUNIT_TEST_SUITE_END();
 
     void traceparent_round_trip()
@@ -75,7 +75,7 @@
                 auto const both =
                     value_or_error([&] { return parse_json_line(noise); });
                 RC_ASSERT(std::holds_alternative<error>(both));
-                // A valid header with one byte changed: read whole or refused.
+                // A valid header with one byte changed: accepted or rejected.
                 id_generator ids{3};
                 auto header = format_traceparent(
                     {ids.next_trace_id(), ids.next_span_id(), true});
@@ -130,7 +130,7 @@
                 auto const line = to_json_line(value);
                 RC_ASSERT(line.find('\n') == std::string::npos);
                 auto read = parse_json_line(line).value();
-                // Bytes that are not UTF-8 come back replaced.
+                // Bytes that are not UTF-8 are replaced.
                 read.attributes = value.attributes;
                 RC_ASSERT(read == value);
             }));
@@ -154,9 +154,9 @@
         CPPUNIT_ASSERT(parse_json_line(lines[1]).value().name == "second");
     }
 
-    // The disk under the span file fills up. Requests go on; an operator sees
-    // in the metrics how many spans are missing from a tree.
-    void a_full_disk_is_counted()
+    // The disk of the span file is full. Requests continue, and the lost spans
+    // are counted in the metrics.
+    void spans_lost_to_a_full_disk_are_counted()
     {
         auto const sink = make_file_sink("/dev/full", 100).value();
         sink.record(make_span("lost"));
@@ -164,10 +164,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, sink.dropped());
     }
 
-    // The file's disk hangs: a write neither fails nor returns. A request that
-    // waited for it would keep its caller waiting; instead the spans that no
-    // longer fit into the queue are missing from the trees and counted.
-    void a_stuck_file_holds_up_nobody()
+    // The disk hangs: a write neither fails nor returns. Requests must not wait
+    // for it; spans that do not fit into the queue are dropped and counted.
+    void a_hanging_disk_does_not_block_requests()
     {
         auto const fifo = std::filesystem::temp_directory_path() /
                           ("stuck-" + std::to_string(::getpid()));
--- a/tests/stand_in/service_test.cpp
+++ b/tests/stand_in/service_test.cpp
@@ -44,14 +44,14 @@
 class service_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(service_test);
-    CPPUNIT_TEST(says_what_it_ran);
-    CPPUNIT_TEST(a_lost_answer_has_run);
-    CPPUNIT_TEST(silence_has_run_and_ends_when_cleared);
-    CPPUNIT_TEST(what_is_refused_has_not_run);
+    CPPUNIT_TEST(reports_what_it_ran);
+    CPPUNIT_TEST(a_call_with_a_lost_response_has_run);
+    CPPUNIT_TEST(a_silent_call_has_run_and_ends_when_cleared);
+    CPPUNIT_TEST(a_rejected_call_has_not_run);
     CPPUNIT_TEST(example_settings_load);
     CPPUNIT_TEST_SUITE_END();
 
-    void says_what_it_ran()
+    void reports_what_it_ran()
     {
         running_service const service;
         service.order("k");
@@ -67,9 +67,9 @@
         CPPUNIT_ASSERT_EQUAL(1, service.executions("r"));
     }
 
-    // The order is booked, then the connection breaks before the answer. A
-    // technician who sees only the break and orders again gets two batteries.
-    void a_lost_answer_has_run()
+    // The call runs, then the connection breaks before the response. A caller
+    // that retries after the break runs the call twice.
+    void a_call_with_a_lost_response_has_run()
     {
         running_service const service;
         post(service.port, "/faults", {{"kind", "drop_answer"}, {"count", 1}});
@@ -79,9 +79,9 @@
         CPPUNIT_ASSERT_EQUAL(2, service.executions("k"));
     }
 
-    // The connection stays open and nothing comes, though the order was booked.
-    // The caller can't tell whether it ran.
-    void silence_has_run_and_ends_when_cleared()
+    // The call runs, but the connection stays open without a response. The
+    // caller cannot know whether the call ran.
+    void a_silent_call_has_run_and_ends_when_cleared()
     {
         running_service const service;
         post(service.port, "/faults", {{"kind", "silent"}, {"count", 1}});
@@ -101,9 +101,9 @@
         CPPUNIT_ASSERT_EQUAL(1, service.executions("k"));
     }
 
-    // A service that fails, is gone or is leaving turns a call away. It must
-    // not have run then, and the leaving one says so.
-    void what_is_refused_has_not_run()
+    // A service that fails, is down or is draining rejects a call. It must not
+    // have run the call, and the draining one reports that.
+    void a_rejected_call_has_not_run()
     {
         running_service const service;
         post(service.port, "/faults", {{"kind", "error"}, {"count", 1}});
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -39,7 +39,7 @@
     app.add_option("--json", chosen.json_file, "write the results as JSON")
         ->type_name("FILE");
     app.add_option("--requests", chosen.requests_file,
-                   "write one JSON line a request")
+                   "write one JSON line per request")
         ->type_name("FILE");
     app.add_option("--run", chosen.run,
                    "name of the run, part of every idempotency key; the same "
--- a/tools/trace/main.cpp
+++ b/tools/trace/main.cpp
@@ -29,8 +29,8 @@
     std::size_t bad_lines{0};
 };
 
-// A line that is cut off (its router was killed while it wrote) is skipped and
-// counted; the rest of the tree still shows.
+// Skips and counts truncated lines, which a router killed during a write leaves
+// behind; the other spans are still shown.
 void read_file(std::istream& stream, read_state& state)
 {
     for (std::string line; std::getline(stream, line);)
