--- a/bench/budget.cpp
+++ b/bench/budget.cpp
@@ -51,8 +51,8 @@
         {"ledger_is_sound", f.ledger_is_sound}};
 }
 
-/// Nanoseconds for one reservation within the share, while as many are open as
-/// a busy router has. Ends of reservations are not in the figure.
+/// Nanoseconds for one reservation within the share, with as many open
+/// reservations as a busy router has. Excludes ending reservations.
 double nanoseconds_a_reservation()
 {
     constexpr std::size_t open_requests = 360;
--- a/bench/budget_baselines.hpp
+++ b/bench/budget_baselines.hpp
@@ -7,11 +7,12 @@
 #include <algorithm>
 #include <vector>
 
-/// What the shares are compared with, under the same traffic and faults.
+/// Baselines for comparison with shares, under the same traffic and faults.
 namespace caperpath::bench
 {
 
-/// Who is reached by a request: a dead or paused VM's callers go to the next.
+/// Returns the VM that a request reaches: callers of a dead or paused VM go to
+/// the next one.
 inline int baseline_vm(settings const& chosen, fault_plan const& plan,
                        request const& one, instant now)
 {
@@ -27,7 +28,7 @@
     return !cut && !within(now, plan.down_from, plan.down_to);
 }
 
-/// The router that died takes its open requests along.
+/// Open requests of a router end when it dies.
 inline bool baseline_dies_before(fault_plan const& plan, int vm, instant start,
                                  instant end)
 {
@@ -39,8 +40,8 @@
     return vm == 0 && plan.dies.ms > 0 && start < plan.dies && plan.dies <= end;
 }
 
-/// A single ledger that knows everything at once and never fails: the fewest
-/// refusals that any scheme can have.
+/// A single ledger with immediate knowledge that never fails: the lower bound
+/// of rejections for any scheme.
 inline figures omniscient_ledger(settings const& chosen,
                                  std::vector<request> const& traffic,
                                  std::vector<token_count> const& paid)
@@ -78,9 +79,9 @@
 }
 
 /// The whole balance is one row; each admission is one conditional write that
-/// sets the worst case aside and gives back what this VM's ended requests of
-/// the same customer left over. A write of another VM in between means a new
-/// try. What a dead VM had not given back stays away for good.
+/// reserves the worst case and returns what this VM's ended requests of the
+/// same customer did not use. A concurrent write of another VM causes a retry.
+/// Tokens that a dead VM had not returned are lost.
 inline figures one_write_a_request(settings const& chosen,
                                    std::vector<request> const& traffic,
                                    std::vector<token_count> const& paid)
@@ -116,7 +117,7 @@
         auto const vm = baseline_vm(chosen, plan, one, now);
         auto& back = returns[static_cast<std::size_t>(vm)][i];
         auto const reached = baseline_reaches_store(plan, vm, now);
-        // Writes of this row within the last round trip were not yet seen.
+        // Writes of this row within the last round trip are not yet visible.
         std::int64_t tries = now - last_write[i] < round_trip ? 2 : 1;
         tries = std::min(tries, most_tries);
         sums.writes += tries;
--- a/bench/budget_events.hpp
+++ b/bench/budget_events.hpp
@@ -12,7 +12,8 @@
 namespace caperpath::bench
 {
 
-/// A discrete-event loop with its own time; equal times keep their order.
+/// Discrete-event loop with simulated time; events of equal time keep their
+/// order.
 class event_loop
 {
 public:
@@ -26,7 +27,7 @@
         this->events.push({this->time + pause, this->count++, std::move(what)});
     }
 
-    /// Runs events until `end`; what lies beyond stays.
+    /// Runs events until `end`; later events stay queued.
     void run_until(instant end)
     {
         while (!this->events.empty() && this->events.top().at <= end)
--- a/bench/budget_fleet.hpp
+++ b/bench/budget_fleet.hpp
@@ -19,8 +19,8 @@
 namespace caperpath::bench
 {
 
-/// A fleet of routers over the pure core and one table, with the traffic and
-/// the faults of the settings. Not thread safe.
+/// Simulated fleet of routers on one table, with the traffic and the faults of
+/// the settings. Not thread safe.
 class fleet
 {
 public:
@@ -36,7 +36,7 @@
         std::map<budget_id, budget::share_state> shares;
         budget::settlement_state settlement;
         bool dead{false};
-        bool unready{false}; ///< the balancer sends it nothing
+        bool unready{false}; ///< the load balancer sends it no requests
     };
     struct open_request
     {
@@ -82,7 +82,7 @@
     std::shared_ptr<store::memory_table> table;
     store::port direct;
     std::vector<router_ptr> routers;
-    router_ptr first; ///< the one that faults of one VM meet
+    router_ptr first; ///< target of faults of one VM
     std::unordered_map<std::string, open_request> open;
     budget::settle_options settle;
     figures sums;
--- a/bench/budget_fleet_faults.hpp
+++ b/bench/budget_fleet_faults.hpp
@@ -46,8 +46,8 @@
             this->sums.lost_with_router += 1;
         }
     }
-    // Answers that ended before the bill are gone from `open` already; the
-    // others end with their router, at once for the omniscient ledger.
+    // Responses that ended before the bill are no longer in `open`. The others
+    // end with their router, at once for the omniscient ledger.
     for (auto const& [budget, share] : at->shares)
     {
         for (auto const& [id, worst] : share.open)
--- a/bench/budget_fleet_run.hpp
+++ b/bench/budget_fleet_run.hpp
@@ -68,7 +68,7 @@
     return !cut && !within(now, this->plan.down_from, this->plan.down_to);
 }
 
-/// The balancer's choice: the VM itself, or the next one that is ready.
+/// Returns the load balancer's choice: the VM itself, or the next ready one.
 inline fleet::router_ptr fleet::pick(int vm) const
 {
     auto const count = this->routers.size();
@@ -129,7 +129,7 @@
     auto const& wanted = this->traffic[number];
     this->open.erase("q" + std::to_string(number));
     this->truth.refused(this->sums, wanted.customer, wanted.worst);
-    // Its readiness check says that it cannot decide: the balancer moves on.
+    // Its readiness check fails, so the load balancer tries the next VM.
     at->unready |= reply.verdict == budget::reserve_verdict::undecidable &&
                    !this->reaches_store(at);
 }
@@ -218,7 +218,7 @@
         });
 }
 
-/// One read, whatever the number of budgets.
+/// Makes one read, regardless of the number of budgets.
 inline void fleet::look(router_ptr const& at,
                         std::vector<budget_id> const& budgets)
 {
@@ -258,7 +258,7 @@
     }
 }
 
-/// True when a look is due.
+/// Returns true if a refresh is due.
 inline bool fleet::step_budget(router_ptr const& at, budget_id const& budget)
 {
     if (at->dead || this->is_paused(at))
--- a/bench/budget_traffic.hpp
+++ b/bench/budget_traffic.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-/// The traffic and the faults that every scheme of the bench meets.
+/// Traffic and faults that are applied to every scheme of the benchmark.
 namespace caperpath::bench
 {
 
@@ -38,8 +38,7 @@
     duration runs{};
 };
 
-/// A span of the run during which something is wrong with one VM or with the
-/// store, or a moment at which something happens.
+/// Time spans in which a VM or the store is faulty, and times of single events.
 struct fault_plan
 {
     instant dies{};     ///< the first VM, 0: never
@@ -47,12 +46,12 @@
     duration replace_step{};
     instant cut_from{}; ///< the first VM does not reach the store
     instant cut_to{};
-    instant down_from{}; ///< nobody reaches the store
+    instant down_from{}; ///< no VM reaches the store
     instant down_to{};
-    instant paused_from{}; ///< the first VM stands still
+    instant paused_from{}; ///< the first VM is paused
     instant paused_to{};
     instant topped_up{};
-    int lost_percent{}; ///< answers of the store that get lost
+    int lost_percent{}; ///< responses of the store that are lost
 };
 
 inline bool within(instant at, instant from, instant to)
@@ -64,7 +63,7 @@
     "none, dead_router, cut_off, store_outage, paused, lost_answers, "
     "replace_all, top_up_cut_off";
 
-/// Empty lists of faults for unknown names are refused by `main`.
+/// Returns an empty list for an unknown name; `main` rejects it.
 inline fault_plan plan_of(settings const& chosen)
 {
     auto const part = [&chosen](int percent)
@@ -169,7 +168,7 @@
     return paid;
 }
 
-/// What a scheme did with the traffic.
+/// Results of one scheme.
 struct figures
 {
     std::string scheme;
@@ -178,7 +177,7 @@
     std::int64_t refused{};
     std::int64_t false_refusals{};
     std::int64_t before_end{};       ///< requests until a budget is 99% spent
-    std::int64_t false_before_end{}; ///< false refusals among them
+    std::int64_t false_before_end{}; ///< false rejections among them
     std::int64_t lost_with_router{};
     token_count overspend{};
     token_count stranded{}; ///< the most at one time
@@ -189,13 +188,13 @@
     std::int64_t rows{};
     std::int64_t reads{};
     std::int64_t waited_ms{};    ///< sum over admissions
-    std::int64_t bill_wait_ms{}; ///< sum over answers that wait for the bill
+    std::int64_t bill_wait_ms{}; ///< sum over responses that wait for the bill
     std::int64_t bill_waits{};
     std::int64_t bill_wait_most_ms{};
     bool ledger_is_sound{true};
 };
 
-/// What an omniscient ledger knows: who was promised what and who used what.
+/// Omniscient ledger of the tokens promised to and used by each request.
 class omniscient
 {
 public:
@@ -241,14 +240,14 @@
         this->open[index(customer)] -= worst;
     }
 
-    /// It ran to its end, but its caller never had the whole answer.
+    /// The request completed, but its caller did not get the complete response.
     void unanswered(figures& sums, int customer, token_count cost)
     {
         sums.lost_with_router += 1;
         this->consumed[index(customer)] -= cost;
     }
 
-    /// Whether this ledger itself would admit now.
+    /// Returns true if this ledger itself would admit the request now.
     bool covers(int customer, token_count worst) const
     {
         auto const i = index(customer);
--- a/bench/capacity/budgets.cpp
+++ b/bench/capacity/budgets.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t rounds = 9;
 constexpr std::size_t reservations = 2'000;
 constexpr std::size_t passes = 1;
-// Not a divisor of any size, so that neighbours in time are none in memory.
+// Divides no size, so that consecutive accesses are not adjacent in memory.
 constexpr std::size_t stride = 7'919;
 
 std::string name_of(std::size_t index)
@@ -33,7 +33,7 @@
     return "budget-" + std::to_string(1'000'000 + index);
 }
 
-/// A budget that has drawn a share and is neither low nor due for a look.
+/// A budget that has drawn a share and is neither low nor due for a refresh.
 budget::share_state idle_share(std::size_t index, instant now)
 {
     auto const policy = config::budget_policy::overspend_first;
--- a/bench/capacity/engine_view.cpp
+++ b/bench/capacity/engine_view.cpp
@@ -39,7 +39,7 @@
     return made;
 }
 
-/// Wall time: the choice is made by the actor's thread while the caller waits.
+/// Uses wall time, because the actor's thread chooses while the caller waits.
 double time_choice(routing::backend_port const& port)
 {
     std::vector<double> times;
--- a/bench/capacity/load_farm.hpp
+++ b/bench/capacity/load_farm.hpp
@@ -10,7 +10,7 @@
 namespace caperpath::bench
 {
 
-/// What was exchanged so far; bytes of HTTP, without those of TCP and IP.
+/// Traffic so far, in HTTP bytes without TCP and IP headers.
 struct farm_counts
 {
     std::int64_t polls{};
@@ -18,13 +18,13 @@
     std::int64_t sent{};
 };
 
-/// Thousands of addresses on 127.0.0.1 that answer `GET /load` as a model
-/// engine does, all served by one thread: a process for each would take more
-/// memory than the measurement may. Not thread safe.
+/// Thousands of addresses on 127.0.0.1 that respond to `GET /load` as a model
+/// engine does, all served by one thread, because one process per address would
+/// exceed the memory limit of the measurement. Not thread safe.
 class load_farm
 {
 public:
-    /// Binds `count` free ports. Throws when one cannot be bound.
+    /// Binds `count` free ports. Throws if one cannot be bound.
     explicit load_farm(std::size_t count);
     ~load_farm();
 
--- a/bench/capacity/probe.hpp
+++ b/bench/capacity/probe.hpp
@@ -21,10 +21,11 @@
 double thread_us();
 
 /// Processor time that another process has used, in microseconds, of all its
-/// threads. Thread safe. 0 when there is no such process.
+/// threads. Thread safe. Returns 0 if there is no such process.
 double process_us(pid_t process);
 
-/// Resident memory of a process in bytes. Thread safe. 0 when there is none.
+/// Resident memory of a process in bytes. Thread safe. Returns 0 if there is no
+/// such process.
 double resident_bytes(pid_t process);
 
 /// Median processor time of one call of `work` in microseconds. Calls it in
--- a/bench/capacity/requests.cpp
+++ b/bench/capacity/requests.cpp
@@ -44,7 +44,7 @@
     return answer && answer->status == http_ok;
 }
 
-/// Callers that ask again and again on a connection each.
+/// Callers that send requests continuously on one connection each.
 class asking
 {
 public:
@@ -62,7 +62,7 @@
         return this->done.load();
     }
 
-    /// Throws when a request was not answered with 200.
+    /// Throws if a response had a status other than 200.
     void finish()
     {
         this->stopping = true;
--- a/bench/capacity/site.cpp
+++ b/bench/capacity/site.cpp
@@ -131,7 +131,7 @@
         std::this_thread::sleep_for(pause);
     }
     // A router is ready up to 50 ms before its view holds a backend server;
-    // until then it refuses with "no_backend_server".
+    // until then it rejects with "no_backend_server".
     std::this_thread::sleep_for(view_lag);
 }
 
--- a/bench/capacity/site.hpp
+++ b/bench/capacity/site.hpp
@@ -25,14 +25,14 @@
     std::string engine;
 };
 
-/// What the platform has been asked for since its start.
+/// Requests that the platform has received since its start.
 struct store_counts
 {
     std::int64_t reads{};
     std::int64_t writes{};
 };
 
-/// What a router used over a while.
+/// Resources that a router used over a time span.
 struct usage
 {
     double seconds{};
@@ -43,7 +43,7 @@
 
 /// Writes the first configuration, one model engine and `customers` customers
 /// with a paid budget each, and waits until the router is ready. Throws
-/// std::runtime_error when a step fails.
+/// std::runtime_error if a step fails.
 void prepare(site const& where, std::size_t customers);
 
 /// Applies a merge patch to the configuration in force. Throws as `prepare`.
@@ -59,10 +59,10 @@
 /// called directly.
 void measure_streams(site const& where, report& out);
 
-/// A router at rest, one-token answers, and budgets held.
+/// An idle router, one-token responses, and budgets held.
 void measure_requests(site const& where, report& out);
 
-/// The cost of asking every model engine for its load.
+/// The cost of polling every model engine for its load.
 void measure_polling(site const& where, report& out);
 
 } // namespace caperpath::bench
--- a/bench/capacity/stream_client.cpp
+++ b/bench/capacity/stream_client.cpp
@@ -70,7 +70,7 @@
     observe::stopwatch const watch;
     double last = 0;
     std::int64_t tokens = 0;
-    std::string raw; // the beginning, to tell why a stream failed
+    std::string raw; // the beginning, to report why a stream failed
     httplib::Request request;
     request.method = "POST";
     request.path = "/v1/chat/completions";
--- a/bench/capacity/stream_client.hpp
+++ b/bench/capacity/stream_client.hpp
@@ -12,7 +12,7 @@
 namespace caperpath::bench
 {
 
-/// Where streams are asked for, how many, and how long they are.
+/// Address, number and length of the requested streams.
 struct stream_load
 {
     std::string address;
@@ -22,15 +22,15 @@
     std::chrono::milliseconds ramp{}; ///< the starts are spread evenly over it
 };
 
-/// What the callers saw. Spans are microseconds.
+/// Measurements of the callers. Spans are microseconds.
 struct stream_times
 {
     std::vector<double> first_token;
     std::vector<double> gaps;
-    std::size_t failed{}; ///< streams that did not bring every token
+    std::size_t failed{}; ///< streams without all their tokens
 };
 
-/// Callers that each read one answer stream on a thread of their own. Not
+/// Callers that each read one response stream on a thread of their own. Not
 /// thread safe.
 class stream_callers
 {
@@ -38,7 +38,7 @@
     /// Starts them.
     explicit stream_callers(stream_load load);
 
-    /// Tokens that all callers have got so far.
+    /// Tokens that all callers have received so far.
     std::int64_t tokens() const;
 
     /// Waits for the end of all streams. Call once.
--- a/bench/capacity/streams.cpp
+++ b/bench/capacity/streams.cpp
@@ -123,7 +123,7 @@
             auto const found =
                 run_through_router(where, streams, routed[streams]);
             // Threads and their stacks are kept, so only the first pass, which
-            // grows, tells the memory of a size.
+            // grows, shows the memory of a size.
             if (pass == 0)
             {
                 memory.points.push_back({static_cast<double>(streams), found});
--- a/bench/configuration_size.cpp
+++ b/bench/configuration_size.cpp
@@ -19,8 +19,8 @@
 #include <string>
 #include <vector>
 
-/// Measures what a configuration costs a router, by its number of routes: the
-/// read from a store on loopback, the reading of its text, the index.
+/// Measures the cost of a configuration for a router by its number of routes:
+/// the read from a store on loopback, parsing, and building the index.
 namespace
 {
 
@@ -105,7 +105,7 @@
         .dump();
 }
 
-/// The configuration as a router gets it from a store, and what that took.
+/// The configuration as read from a store, and the time of the read.
 store::feed_page read(std::string const& body, double& took)
 {
     boost::asio::io_context loop;
--- a/bench/crash_record.cpp
+++ b/bench/crash_record.cpp
@@ -8,7 +8,7 @@
 #include <string>
 
 /// Measures what a request that crashes servers costs a simulated fleet, and
-/// how many requests are refused that do not crash any.
+/// how many requests are rejected although they crash none.
 namespace
 {
 
--- a/bench/outcomes.cpp
+++ b/bench/outcomes.cpp
@@ -10,8 +10,8 @@
 #include <random>
 #include <set>
 
-/// Measures what a caller gets while one thing goes wrong: a whole site in one
-/// process, two routers, callers through both.
+/// Measures outcomes for callers during a single fault: a complete site in one
+/// process with two routers and callers through both.
 namespace
 {
 
@@ -27,7 +27,7 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(took).count();
 }
 
-// The same order with a key and without one, in turn.
+// The same request with and without an idempotency key, in turn.
 json claim_latency(options const& given)
 {
     site here{2};
@@ -83,8 +83,8 @@
     }
 }
 
-// Every order is asked for up to three times, through both routers, as a caller
-// does that hears nothing good.
+// Every non-idempotent request is sent up to three times, through both routers,
+// as by a caller that retries after failures.
 json mixed(options const& given)
 {
     site here{2};
@@ -148,7 +148,7 @@
                : std::stoll(text.substr(found + name.size()));
 }
 
-// Sixteen callers ask one chat after another through an outage.
+// Sixteen callers send one chat after another during an outage.
 json engine_outage(options const& given, bool all_engines)
 {
     constexpr int callers = 16;
--- a/bench/outcomes_common.hpp
+++ b/bench/outcomes_common.hpp
@@ -15,7 +15,7 @@
 #include <thread>
 #include <vector>
 
-/// What the measurements of `bench/outcomes` share.
+/// Helpers shared by the measurements of `bench/outcomes`.
 namespace caperpath::bench
 {
 
--- a/bench/outcomes_streams.hpp
+++ b/bench/outcomes_streams.hpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <future>
 
-/// Measurements of open streams: silence, a leaving engine, a planned stop.
+/// Measurements of open streams: silence, a draining engine, a planned stop.
 namespace caperpath::bench
 {
 
@@ -68,7 +68,7 @@
             {"silence_most_over_p99_gap", ratio(longest.front(), p99)}};
 }
 
-// New chats come all the time while engine 0 is told to leave.
+// New chats arrive continuously while engine 0 is draining.
 inline json leaving(options const&)
 {
     constexpr duration watched{4'000};
--- a/tests/soak/pause.cpp
+++ b/tests/soak/pause.cpp
@@ -12,7 +12,7 @@
 asio::awaitable<void> pause(asio::any_io_executor const& executor,
                             std::chrono::milliseconds time)
 {
-    boost::system::error_code ignored; // nobody cancels the timer
+    boost::system::error_code ignored; // the timer is never cancelled
     asio::steady_timer timer{executor, time};
     co_await timer.async_wait(
         asio::redirect_error(asio::use_awaitable, ignored));
--- a/tests/soak/pause.hpp
+++ b/tests/soak/pause.hpp
@@ -14,7 +14,7 @@
 boost::asio::awaitable<void> pause(boost::asio::any_io_executor const& executor,
                                    std::chrono::milliseconds time);
 
-/// The same numbers from one seed with every library.
+/// Random numbers that depend only on the seed, not on the standard library.
 class dice
 {
 public:
@@ -34,7 +34,7 @@
         return std::chrono::milliseconds{this->between(least, most)};
     }
 
-    /// True in `percent` of all cases.
+    /// Returns true with a probability of `percent`.
     bool chance(int percent)
     {
         return this->between(1, 100) <= percent;
--- a/tests/soak/planned_stops_test.cpp
+++ b/tests/soak/planned_stops_test.cpp
@@ -9,8 +9,8 @@
 
 #include <unistd.h>
 
-// Guards against requests that are lost, repeated or cut when routers stop and
-// start in overlapping series while their callers stay.
+// Guards against lost, duplicated or truncated requests when routers restart in
+// overlapping series while their callers keep sending.
 
 namespace
 {
@@ -21,8 +21,8 @@
 constexpr milliseconds tick{20};
 constexpr milliseconds stall{100};
 
-/// Notes when this process is not run in time, and ends the loop when all is
-/// done.
+/// Records when this process is scheduled late. Stops the loop once all callers
+/// are done.
 asio::awaitable<void> watch(soak_site& site)
 {
     auto last = std::chrono::steady_clock::now();
@@ -32,7 +32,7 @@
         auto const now = std::chrono::steady_clock::now();
         if (now - last > tick + stall)
         {
-            site.record.note_stall();
+            site.record.record_stall();
         }
         last = now;
     }
@@ -53,10 +53,10 @@
                        });
     };
     spawn(watch(site));
-    spawn(lose_store(site));
+    spawn(interrupt_store(site));
     for (int i = 0; i < site.options.routers; ++i)
     {
-        spawn(stop_again_and_again(site, i));
+        spawn(restart_repeatedly(site, i));
     }
     for (int i = 0; i < site.options.callers; ++i)
     {
@@ -72,9 +72,9 @@
     std::filesystem::create_directories(options.folder);
     soak_site site{options};
     run(site);
-    site.record.check_reach();
+    site.record.check_coverage();
     std::cout << site.record.summary();
-    if (site.record.first_broken().empty())
+    if (site.record.first_violation().empty())
     {
         if (!options.keep_logs)
         {
@@ -84,7 +84,7 @@
         return 0;
     }
     std::cout << "seed " << options.seed
-              << " broke: " << site.record.first_broken()
+              << " broke: " << site.record.first_violation()
               << "logs: " << options.folder.string() << std::endl;
     return 1;
 }
@@ -94,19 +94,19 @@
 int main(int argc, char** argv)
 {
     CLI::App app{"Stops and starts router processes in overlapping series and "
-                 "checks what their callers were promised."};
+                 "checks the guarantees given to their callers."};
     soak_options options{20'261'203, {}, 4, 32, CAPERPATH_GATEWAY, {}, false};
     double minutes = 1;
     options.folder = std::filesystem::temp_directory_path() /
                      ("caperpath-soak-" + std::to_string(::getpid()));
     app.add_option("--seed", options.seed);
-    app.add_option("--minutes", minutes, "how long, and one more stop")
+    app.add_option("--minutes", minutes, "run time, plus one last stop")
         ->check(CLI::PositiveNumber);
     app.add_option("--routers", options.routers)->check(CLI::Range(1, 999));
     app.add_option("--callers", options.callers)->check(CLI::PositiveNumber);
     app.add_flag("--keep-logs", options.keep_logs,
-                 "keep the routers' logs of a run that held, too");
-    app.add_option("--gateway", options.gateway, "the routers' binary")
+                 "keep the routers' logs of a passed run, too");
+    app.add_option("--gateway", options.gateway, "path of the routers' binary")
         ->check(CLI::ExistingFile);
     CLI11_PARSE(app, argc, argv);
     constexpr double seconds = 60;
--- a/tests/soak/router_process.cpp
+++ b/tests/soak/router_process.cpp
@@ -29,9 +29,10 @@
     return "127.0.0.1:" + std::to_string(port);
 }
 
-/// Becomes the router. Only calls that are safe after a fork.
-[[noreturn]] void become(char const* gateway, char const* settings,
-                         int descriptor)
+/// Replaces this process with the router. Makes only calls that are safe after
+/// fork().
+[[noreturn]] void exec_router(char const* gateway, char const* settings,
+                              int descriptor)
 {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     ::dup2(descriptor, STDOUT_FILENO);
@@ -104,7 +105,8 @@
     this->pid = descriptor < 0 ? -1 : ::fork();
     if (this->pid == 0)
     {
-        become(this->plan.gateway.c_str(), this->settings.c_str(), descriptor);
+        exec_router(this->plan.gateway.c_str(), this->settings.c_str(),
+                    descriptor);
     }
     auto const fault = errno;
     ::close(descriptor);
@@ -142,7 +144,7 @@
         auto const code = WEXITSTATUS(this->status);
         return code == 0 ? "" : "exit code " + std::to_string(code);
     }
-    // A signal that comes before the process handles it ends the process.
+    // A signal that arrives before its handler is installed ends the process.
     auto const number = WTERMSIG(this->status);
     return number == SIGTERM && this->connections == 0
                ? ""
--- a/tests/soak/router_process.hpp
+++ b/tests/soak/router_process.hpp
@@ -17,7 +17,7 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-/// What a router process is started with.
+/// Start parameters of a router process.
 struct router_plan
 {
     std::string gateway;          ///< the binary's path
@@ -27,8 +27,8 @@
     int grace_s{};
 };
 
-/// One router as a real process, started again and again at the same address.
-/// Loop thread only.
+/// A router process that can be restarted at the same address. Loop thread
+/// only.
 class router_process
 {
 public:
@@ -36,7 +36,7 @@
     router_process(router_process const&) = delete;
     router_process& operator=(router_process const&) = delete;
 
-    /// Kills a process that still runs.
+    /// Kills the process if it is running.
     ~router_process();
 
     /// @pre no process runs. @throws std::system_error
@@ -45,15 +45,16 @@
     /// Does nothing if the process has ended.
     void signal(int number);
 
-    /// False once the process has ended; `exit_fault` then tells how.
+    /// Returns false once the process has ended; `exit_fault` then says how.
     bool runs();
 
-    /// Empty for a process that ended in order, or before its first caller.
+    /// Returns an empty string if the process exited with code 0, or was ended
+    /// by SIGTERM before its first connection.
     std::string exit_fault() const;
 
     std::uint16_t port() const;
 
-    std::int64_t connections{}; ///< that callers made to this process
+    std::int64_t connections{}; ///< accepted by this process from callers
     bool stopping{false};
 
 private:
@@ -62,8 +63,8 @@
 
     asio::io_context& loop;
     router_plan plan;
-    /// Bound and not listening, so that no other process gets these ports while
-    /// the router is down.
+    /// Bound but not listening, so that no other process can take these ports
+    /// while the router is down.
     std::vector<tcp::acceptor> reserved;
     std::filesystem::path settings;
     std::filesystem::path log;
--- a/tests/soak/soak_callers.cpp
+++ b/tests/soak/soak_callers.cpp
@@ -22,12 +22,12 @@
 using std::chrono::milliseconds;
 
 constexpr int prompt_tokens = 300;
-constexpr milliseconds connect_time{2'000};
-/// Far longer than the time limit of each request.
-constexpr std::chrono::seconds longest_answer{30};
+constexpr milliseconds connect_timeout{2'000};
+/// Far longer than the deadline of each request.
+constexpr std::chrono::seconds response_timeout{30};
 
 /// A caller's connection to a router.
-struct link
+struct router_connection
 {
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
@@ -75,8 +75,9 @@
     return made;
 }
 
-/// True when the router has closed the connection, or sends what nobody asked.
-bool is_closed(link& to)
+/// Returns true if the router has closed the connection or has sent data
+/// without a request.
+bool is_closed(router_connection& to)
 {
     char byte{};
     auto const got = ::recv(to.stream.socket().native_handle(), &byte, 1,
@@ -84,11 +85,11 @@
     return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-asio::awaitable<bool> connect(soak_site& site, link& to)
+asio::awaitable<bool> connect(soak_site& site, router_connection& to)
 {
     boost::system::error_code fault;
     auto& router = *site.routers[to.router];
-    to.stream.expires_after(connect_time);
+    to.stream.expires_after(connect_timeout);
     co_await to.stream.async_connect(
         tcp::endpoint{asio::ip::make_address("127.0.0.1"), router.port()},
         asio::redirect_error(asio::use_awaitable, fault));
@@ -96,8 +97,9 @@
     co_return !fault;
 }
 
-/// Sends the request, sometimes in pieces. False if it could not be sent.
-asio::awaitable<bool> send(link& to, std::string_view bytes, dice& draw)
+/// Sends the request, sometimes in pieces. Returns false if sending failed.
+asio::awaitable<bool> send(router_connection& to, std::string_view bytes,
+                           dice& draw)
 {
     auto const in_pieces = draw.chance(20);
     while (!bytes.empty())
@@ -134,9 +136,9 @@
     return count;
 }
 
-/// Sends one request and reads its answer. True if the connection may be used
-/// again.
-asio::awaitable<bool> call(soak_site& site, link& to, dice& draw,
+/// Sends one request and reads its response. Returns true if the connection can
+/// be reused.
+asio::awaitable<bool> call(soak_site& site, router_connection& to, dice& draw,
                            caller_request const& request)
 {
     auto& record = site.record;
@@ -144,12 +146,12 @@
     record.begin(request.id, request.kind);
     record.note(request.id, request.bytes.substr(0, request.bytes.find(' ')) +
                                 " to router " + std::to_string(to.router) +
-                                (router.stopping ? ", which stops" : ""));
-    ending how;
-    to.stream.expires_after(longest_answer);
+                                (router.stopping ? ", which is stopping" : ""));
+    request_outcome how;
+    to.stream.expires_after(response_timeout);
     how.sent = co_await send(to, request.bytes, draw);
     how.sent_ms = record.now_ms();
-    record.note(request.id, how.sent ? "sent" : "not sent to its end");
+    record.note(request.id, how.sent ? "sent" : "not fully sent");
     http::response_parser<http::string_body> parser;
     boost::system::error_code fault;
     co_await http::async_read(to.stream, to.buffer, parser,
@@ -174,9 +176,9 @@
     co_return how.whole&& parser.keep_alive();
 }
 
-/// Half of those whose connection was closed come back to the same router as
-/// long as its process runs: not every load balancer turns them away.
-void choose_router(soak_site& site, link& to, dice& draw)
+/// Half of the callers whose connection was closed reconnect to the same router
+/// while its process runs, because not every load balancer redirects them.
+void choose_router(soak_site& site, router_connection& to, dice& draw)
 {
     if (draw.chance(50) || !site.routers[to.router]->runs())
     {
@@ -184,9 +186,10 @@
     }
 }
 
-/// Calls over one connection until it is closed.
-asio::awaitable<void> use_connection(soak_site& site, link& to, dice& draw,
-                                     std::string const& name, int& requests)
+/// Sends requests over one connection until it is closed.
+asio::awaitable<void> use_connection(soak_site& site, router_connection& to,
+                                     dice& draw, std::string const& name,
+                                     int& requests)
 {
     auto open = co_await connect(site, to);
     if (!open)
@@ -218,7 +221,7 @@
     int router = number % site.options.routers;
     while (!site.over())
     {
-        link to{boost::beast::tcp_stream{site.loop}, {}, router};
+        router_connection to{boost::beast::tcp_stream{site.loop}, {}, router};
         choose_router(site, to, draw);
         router = to.router;
         co_await use_connection(site, to, draw, name, requests);
--- a/tests/soak/soak_record.cpp
+++ b/tests/soak/soak_record.cpp
@@ -9,14 +9,15 @@
 namespace
 {
 
-/// A request sent less than this before its connection ended may have crossed
-/// the close.
-constexpr std::int64_t crossing_ms = 200;
+/// A request sent less than this before its connection closed may have been in
+/// flight at the close.
+constexpr std::int64_t close_race_ms = 200;
 
 } // namespace
 
-soak_record::soak_record(std::function<void()> on_broken)
-    : on_broken{std::move(on_broken)}, began{std::chrono::steady_clock::now()}
+soak_record::soak_record(std::function<void()> on_violation)
+    : on_violation{std::move(on_violation)},
+      began{std::chrono::steady_clock::now()}
 {
 }
 
@@ -39,49 +40,52 @@
     history += "  " + std::to_string(this->now_ms()) + " ms: " + what + "\n";
 }
 
-void soak_record::server_saw(std::string const& id)
+void soak_record::note_execution(std::string const& id)
 {
     auto& of = this->requests[id];
     of.runs += 1;
-    this->note(id, "a server runs it");
+    this->note(id, "a server executes it");
     if (of.kind == request_kind::order && of.runs > 1)
     {
-        this->broken("an order runs at most once", of.history);
+        this->report_violation(
+            "a non-idempotent request is executed at most once", of.history);
     }
-    if (of.refused)
+    if (of.rejected)
     {
-        this->broken("what was refused as not run does not run", of.history);
+        this->report_violation(
+            "a request rejected as not executed is not executed later",
+            of.history);
     }
 }
 
-void soak_record::end(std::string const& id, ending const& how)
+void soak_record::end(std::string const& id, request_outcome const& how)
 {
     auto& of = this->requests[id];
     std::ostringstream text;
     text << "ended with status " << how.status
-         << (how.whole ? ", whole" : ", not whole")
-         << (how.sent ? "" : ", request not sent to its end")
+         << (how.whole ? ", complete" : ", incomplete")
+         << (how.sent ? "" : ", request not fully sent")
          << (how.closed ? ", connection closed: " + how.fault : "");
     this->note(id, text.str());
     this->count("status " + std::to_string(how.status) +
-                (how.whole ? "" : " cut"));
-    of.refused = how.whole && (how.status == 503 || how.status == 429);
-    this->judge(id, of, how);
+                (how.whole ? "" : " incomplete"));
+    of.rejected = how.whole && (how.status == 503 || how.status == 429);
+    this->check_outcome(id, of, how);
 }
 
-void soak_record::judge(std::string const& id, request const& of,
-                        ending const& how)
+void soak_record::check_outcome(std::string const& id, request const& of,
+                                request_outcome const& how)
 {
     if (how.status == 0)
     {
-        this->judge_silence(id, of, how);
+        this->check_no_response(id, of, how);
         return;
     }
     if (!how.whole)
     {
         if (of.kind != request_kind::stream)
         {
-            this->broken("an answer comes whole", of.history);
+            this->report_violation("a response is complete", of.history);
         }
         return;
     }
@@ -90,7 +94,8 @@
     case 200:
         if (!how.right)
         {
-            this->broken("what looks whole is whole", of.history);
+            this->report_violation("a complete response has the expected body",
+                                   of.history);
         }
         this->served.insert(of.kind);
         break;
@@ -99,39 +104,44 @@
     case 503:
         if (of.runs > 0)
         {
-            this->broken("what is refused as not run has not run", of.history);
+            this->report_violation(
+                "a request rejected as not executed has not been executed",
+                of.history);
         }
         break;
     case 502:
     case 504:
         break;
     default:
-        this->broken("callers that make no mistake are told of none",
-                     of.history);
+        this->report_violation("a valid request gets no client error",
+                               of.history);
     }
 }
 
-void soak_record::judge_silence(std::string const& id, request const& of,
-                                ending const& how)
+void soak_record::check_no_response(std::string const& id, request const& of,
+                                    request_outcome const& how)
 {
     if (!how.closed)
     {
-        this->broken("a request ends while its connection is open", of.history);
+        this->report_violation("a request ends while its connection is open",
+                               of.history);
         return;
     }
     if (of.runs > 0)
     {
-        this->broken("a request that was begun is answered", of.history);
+        this->report_violation("a request that was executed gets a response",
+                               of.history);
         return;
     }
     auto const age = this->now_ms() - how.sent_ms;
-    if (how.sent && age > crossing_ms && this->stalled_ms < how.sent_ms)
+    if (how.sent && age > close_race_ms && this->stalled_ms < how.sent_ms)
     {
-        this->broken("a request that was read is answered", of.history);
+        this->report_violation("a request that was read gets a response",
+                               of.history);
         return;
     }
-    this->count("crossed a close: " + how.fault);
-    this->note(id, "it crossed the close");
+    this->count("in flight at a close: " + how.fault);
+    this->note(id, "it was in flight at the close");
 }
 
 void soak_record::pay(std::string const& customer, std::int64_t tokens)
@@ -145,8 +155,8 @@
     this->left[customer] -= tokens;
     if (this->left[customer] < 0)
     {
-        this->broken("a customer spends what was paid at most",
-                     this->requests[id].history);
+        this->report_violation("a customer spends at most what was paid",
+                               this->requests[id].history);
     }
 }
 
@@ -155,31 +165,32 @@
     this->counts[what] += 1;
 }
 
-void soak_record::check_reach()
+void soak_record::check_coverage()
 {
     constexpr std::size_t kinds = 3;
     if (this->served.size() < kinds)
     {
-        this->broken("requests of every kind are served", "");
+        this->report_violation("requests of every kind are served", "");
     }
 }
 
-void soak_record::note_stall()
+void soak_record::record_stall()
 {
     this->stalled_ms = this->now_ms();
     this->count("stalls of the driver");
 }
 
-void soak_record::broken(std::string const& promise, std::string const& history)
+void soak_record::report_violation(std::string const& promise,
+                                   std::string const& history)
 {
     if (this->first.empty())
     {
         this->first = promise + "\n" + history;
-        this->on_broken();
+        this->on_violation();
     }
 }
 
-std::string const& soak_record::first_broken() const
+std::string const& soak_record::first_violation() const
 {
     return this->first;
 }
--- a/tests/soak/soak_record.hpp
+++ b/tests/soak/soak_record.hpp
@@ -18,51 +18,53 @@
     stream
 };
 
-/// How a request ended for its caller.
-struct ending
+/// Outcome of a request as its caller sees it.
+struct request_outcome
 {
-    int status{};             ///< 0 if no head of an answer came
-    bool whole{false};        ///< the answer's framing was complete
-    bool right{false};        ///< it holds what was asked for
+    int status{};             ///< 0 if no response head was received
+    bool whole{false};        ///< the response's framing was complete
+    bool right{false};        ///< the body is the expected one
     bool sent{false};         ///< the whole request was sent
     bool closed{true};        ///< the connection ended
     std::int64_t sent_ms{-1}; ///< when the last byte was sent
     std::string fault;        ///< how the connection ended
 };
 
-/// What was promised to callers, checked from outside. Loop thread only.
+/// Checks the guarantees given to callers from outside. Loop thread only.
 class soak_record
 {
 public:
-    /// `on_broken` is called once, at the first broken promise.
-    explicit soak_record(std::function<void()> on_broken);
+    /// `on_violation` is called once, at the first violated guarantee.
+    explicit soak_record(std::function<void()> on_violation);
 
-    /// Since the record began.
+    /// Time since construction.
     std::int64_t now_ms() const;
 
     void begin(std::string const& id, request_kind kind);
     void note(std::string const& id, std::string const& what);
-    void server_saw(std::string const& id);
-    void end(std::string const& id, ending const& how);
+    void note_execution(std::string const& id);
+    void end(std::string const& id, request_outcome const& how);
 
-    /// Tokens that a caller was served.
+    /// Counts tokens that were served to a caller.
     void spend(std::string const& id, std::string const& customer,
                std::int64_t tokens);
     void pay(std::string const& customer, std::int64_t tokens);
 
-    /// For the summary.
+    /// Increments a counter of the summary.
     void count(std::string const& what);
 
-    /// Breaks the soak if it could not have shown anything.
-    void check_reach();
+    /// Reports a violation if requests of some kind were never served, as such
+    /// a run proves nothing.
+    void check_coverage();
 
-    /// This process itself was not run for a while.
-    void note_stall();
+    /// Records that this process itself was not scheduled for some time.
+    void record_stall();
 
-    void broken(std::string const& promise, std::string const& history);
+    void report_violation(std::string const& promise,
+                          std::string const& history);
 
-    /// Empty as long as every promise was kept.
-    std::string const& first_broken() const;
+    /// Empty if no guarantee was violated.
+    std::string const& first_violation() const;
     std::string summary() const;
 
 private:
@@ -70,15 +72,16 @@
     {
         request_kind kind{};
         int runs{};
-        bool refused{false};
+        bool rejected{false};
         std::string history;
     };
 
-    void judge(std::string const& id, request const& of, ending const& how);
-    void judge_silence(std::string const& id, request const& of,
-                       ending const& how);
+    void check_outcome(std::string const& id, request const& of,
+                       request_outcome const& how);
+    void check_no_response(std::string const& id, request const& of,
+                           request_outcome const& how);
 
-    std::function<void()> on_broken;
+    std::function<void()> on_violation;
     std::chrono::steady_clock::time_point began;
     std::map<std::string, request> requests;
     std::map<std::string, std::int64_t> left; ///< tokens, by customer
--- a/tests/soak/soak_servers.cpp
+++ b/tests/soak/soak_servers.cpp
@@ -58,8 +58,8 @@
     co_return !fault;
 }
 
-/// Answers nothing until the router closes the connection.
-asio::awaitable<void> be_silent(boost::beast::tcp_stream& stream)
+/// Sends no response and waits until the router closes the connection.
+asio::awaitable<void> send_no_response(boost::beast::tcp_stream& stream)
 {
     boost::system::error_code fault;
     char byte{};
@@ -126,11 +126,11 @@
                                           request const& got)
 {
     std::string const id{got["Request-Id"]};
-    this->record.server_saw(id);
+    this->record.note_execution(id);
     dice draw{seed_of(id)};
     if (draw.chance(silent_percent))
     {
-        co_await be_silent(stream);
+        co_await send_no_response(stream);
         co_return false;
     }
     if (events_of(got) > 0)
--- a/tests/soak/soak_servers.hpp
+++ b/tests/soak/soak_servers.hpp
@@ -19,8 +19,8 @@
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
 
-/// A backend server: short calls, streams of up to some seconds, and now and
-/// then silence. What it does with a request depends on the request's id alone.
+/// Backend server with short calls, streams of up to a few seconds, and
+/// occasionally no response. Its behaviour depends only on the request's id.
 /// Loop thread only.
 class soak_server
 {
@@ -43,10 +43,10 @@
     tcp::acceptor acceptor;
 };
 
-/// How many events the stream that answers `got` has in all.
+/// Total number of events in the stream that responds to `got`.
 int events_of(http::request<http::string_body> const& got);
 
-/// The body that answers a call.
+/// Response body of a call.
 std::string body_of(std::string const& id);
 
 } // namespace caperpath::soak
--- a/tests/soak/soak_site.cpp
+++ b/tests/soak/soak_site.cpp
@@ -16,7 +16,7 @@
 constexpr int app_servers = 3;
 constexpr int engines = 2;
 constexpr int grace_s = 4;
-constexpr milliseconds look{10};
+constexpr milliseconds poll_interval{10};
 /// Small enough to be used up during a soak.
 constexpr std::int64_t small_budget = 60'000;
 constexpr std::int64_t large_budget = 1'000'000'000;
@@ -37,7 +37,7 @@
            R"("],"reserved":)" + std::to_string(paid) + "}";
 }
 
-/// What comes in the way of a router while it stops.
+/// Event that is injected while a router stops.
 struct disturbance
 {
     milliseconds after; ///< SIGTERM
@@ -68,7 +68,7 @@
         router.signal(SIGTERM);
         break;
     case disturbance::kind::hang_up:
-        // Before its first caller it may not handle signals yet.
+        // Before its first connection its signal handler may not be installed.
         if (router.connections > 0)
         {
             router.signal(SIGHUP);
@@ -86,11 +86,11 @@
     auto const fault = router.exit_fault();
     if (!asked || !fault.empty())
     {
-        site.record.broken("a process ends when it is asked to, in order",
-                           "  " + std::to_string(site.record.now_ms()) +
-                               " ms: router " + std::to_string(number) +
-                               " ended" + (asked ? ": " : " by itself: ") +
-                               fault + "\n");
+        site.record.report_violation(
+            "a process exits cleanly, and only after SIGTERM",
+            "  " + std::to_string(site.record.now_ms()) + " ms: router " +
+                std::to_string(number) + " ended" +
+                (asked ? ": " : " without SIGTERM: ") + fault + "\n");
     }
 }
 
@@ -102,20 +102,21 @@
     while (router.runs())
     {
         auto const since = steady_clock::now() - began;
-        // Another look: this process may have been late itself.
+        // Checks again, since this process itself may have been delayed.
         if (since >= std::chrono::seconds{grace_s} && router.runs())
         {
             router.signal(SIGKILL);
-            site.record.broken("a stopped process is gone before its grace "
-                               "time ends",
-                               "  router " + std::to_string(number) + "\n");
+            site.record.report_violation(
+                "a stopped process exits before its grace "
+                "time ends",
+                "  router " + std::to_string(number) + "\n");
             co_return;
         }
         if (since >= disturbed.after)
         {
             apply(site, router, std::exchange(disturbed, {}));
         }
-        co_await pause(site.loop.get_executor(), look);
+        co_await pause(site.loop.get_executor(), poll_interval);
     }
     site.record.count("stops");
     check_exit(site, router, number, true);
@@ -180,12 +181,12 @@
     return this->series_left == 0;
 }
 
-asio::awaitable<void> stop_again_and_again(soak_site& site, int number)
+asio::awaitable<void> restart_repeatedly(soak_site& site, int number)
 {
     dice draw{site.options.seed * 1'000 + static_cast<std::uint64_t>(number)};
     auto& router = *site.routers[number];
     router.start();
-    // The first stops come in a series.
+    // The first stops are staggered.
     constexpr milliseconds gap{700};
     co_await pause(site.loop.get_executor(),
                    milliseconds{2'000} + number * gap);
@@ -214,7 +215,7 @@
     site.series_left -= 1;
 }
 
-asio::awaitable<void> lose_store(soak_site& site)
+asio::awaitable<void> interrupt_store(soak_site& site)
 {
     dice draw{site.options.seed * 1'000 + 999};
     while (!site.over())
--- a/tests/soak/soak_site.hpp
+++ b/tests/soak/soak_site.hpp
@@ -25,39 +25,39 @@
     int callers{};
     std::string gateway; ///< the binary's path
     std::filesystem::path folder;
-    bool keep_logs{false}; ///< also when every promise was kept
+    bool keep_logs{false}; ///< also if no guarantee was violated
 };
 
-/// Router processes, what they work with, and what was promised. Loop thread
-/// only.
+/// Router processes with their store and servers, and the record of what
+/// callers saw. Loop thread only.
 struct soak_site
 {
     explicit soak_site(soak_options const& options);
 
     void put_configuration();
 
-    /// True once the routers are stopped for the last time.
+    /// Returns true once all routers are stopped for the last time.
     bool over() const;
 
     soak_options const options;
     asio::io_context loop;
     soak_record record;
-    store_stand_in store;
+    fake_store store;
     std::deque<soak_server> servers;
     std::vector<std::unique_ptr<router_process>> routers;
     std::int64_t configuration{};
     std::chrono::steady_clock::time_point end;
-    int series_left{};  ///< of routers that will run again
-    int callers_left{}; ///< that still wait or send
+    int series_left{};  ///< restart series that are not finished
+    int callers_left{}; ///< that are still active
 };
 
-/// Starts and stops one router until the soak is over.
-asio::awaitable<void> stop_again_and_again(soak_site& site, int number);
+/// Restarts one router until the soak time is over.
+asio::awaitable<void> restart_repeatedly(soak_site& site, int number);
 
-/// Takes the store away and gives it back.
-asio::awaitable<void> lose_store(soak_site& site);
+/// Makes the store unreachable for random periods.
+asio::awaitable<void> interrupt_store(soak_site& site);
 
-/// Sends requests until no router runs any more.
+/// Sends requests until the soak is over.
 asio::awaitable<void> call_routers(soak_site& site, int number);
 
 } // namespace caperpath::soak
--- a/tests/soak/store_stand_in.cpp
+++ b/tests/soak/store_stand_in.cpp
@@ -24,7 +24,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds look{10};
+constexpr std::chrono::milliseconds poll_interval{10};
 constexpr std::size_t most_rows = 500;
 
 std::string base64(std::string const& bytes)
@@ -79,20 +79,20 @@
 
 } // namespace
 
-store_stand_in::store_stand_in(asio::io_context& loop)
+fake_store::fake_store(asio::io_context& loop)
     : acceptor{loop, {asio::ip::make_address("127.0.0.1"), 0}}
 {
     asio::co_spawn(loop, this->accept(), asio::detached);
 }
 
-std::string store_stand_in::address() const
+std::string fake_store::address() const
 {
     return "127.0.0.1:" +
            std::to_string(this->acceptor.local_endpoint().port());
 }
 
-void store_stand_in::put(std::string const& table, std::string const& key,
-                         std::string const& value)
+void fake_store::put(std::string const& table, std::string const& key,
+                     std::string const& value)
 {
     this->version += 1;
     this->write(
@@ -100,7 +100,7 @@
         false);
 }
 
-asio::awaitable<void> store_stand_in::accept()
+asio::awaitable<void> fake_store::accept()
 {
     while (true)
     {
@@ -110,7 +110,7 @@
     }
 }
 
-asio::awaitable<void> store_stand_in::serve(tcp::socket socket)
+asio::awaitable<void> fake_store::serve(tcp::socket socket)
 {
     boost::beast::tcp_stream stream{std::move(socket)};
     boost::beast::flat_buffer buffer;
@@ -135,11 +135,11 @@
         }
         while (!this->reachable)
         {
-            co_await pause(this->acceptor.get_executor(), look);
+            co_await pause(this->acceptor.get_executor(), poll_interval);
         }
         if (lost)
         {
-            co_return; // delivers nothing further
+            co_return; // no further requests on this connection
         }
         http::response<http::string_body> sent{made.status, got.version()};
         sent.body() = made.body.dump();
@@ -153,8 +153,7 @@
     }
 }
 
-asio::awaitable<store_stand_in::answer>
-store_stand_in::answer_to(request const& got)
+asio::awaitable<fake_store::answer> fake_store::answer_to(request const& got)
 {
     std::string const target{got.target()};
     if (target.starts_with("/-/rows-tx"))
@@ -173,7 +172,7 @@
     co_return answer{http::status::not_found, json::object()};
 }
 
-asio::awaitable<store_stand_in::answer> store_stand_in::changes(parameters of)
+asio::awaitable<fake_store::answer> fake_store::changes(parameters of)
 {
     auto const since = std::stoull(of["since-revision"]);
     auto const end = std::chrono::steady_clock::now() +
@@ -191,11 +190,11 @@
         {
             co_return answer{http::status::ok, this->page(found)};
         }
-        co_await pause(this->acceptor.get_executor(), look);
+        co_await pause(this->acceptor.get_executor(), poll_interval);
     }
 }
 
-store_stand_in::answer store_stand_in::range(parameters of) const
+fake_store::answer fake_store::range(parameters of) const
 {
     auto limit = of["limit"].empty() ? most_rows : std::stoul(of["limit"]);
     auto found = json::array();
@@ -216,7 +215,7 @@
     return {http::status::ok, std::move(body)};
 }
 
-bool store_stand_in::holds(json const& expected) const
+bool fake_store::holds(json const& expected) const
 {
     auto const found = this->rows.find(place_of(expected));
     auto const now =
@@ -224,7 +223,7 @@
     return expected["schema-version"] == now;
 }
 
-store_stand_in::answer store_stand_in::commit(json const& transaction)
+fake_store::answer fake_store::commit(json const& transaction)
 {
     auto const& expected = transaction["expect"];
     if (!std::all_of(expected.begin(), expected.end(),
@@ -253,7 +252,7 @@
     return {http::status::ok, this->page(json::array())};
 }
 
-void store_stand_in::write(json row, bool deleted)
+void fake_store::write(json row, bool deleted)
 {
     row["schema-version"] = this->version;
     auto const place = place_of(row);
@@ -269,7 +268,7 @@
     this->history[std::get<0>(place)].push_back(std::move(row));
 }
 
-json store_stand_in::page(json const& rows) const
+json fake_store::page(json const& rows) const
 {
     auto const now = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::steady_clock::now().time_since_epoch());
--- a/tests/soak/store_stand_in.hpp
+++ b/tests/soak/store_stand_in.hpp
@@ -22,20 +22,20 @@
 using tcp = asio::ip::tcp;
 using json = nlohmann::json;
 
-/// The platform's metadata store over HTTP, in memory: transactions, ranges and
-/// feeds of rows. Loop thread only.
-class store_stand_in
+/// In-memory fake of the platform's metadata store over HTTP: transactions,
+/// ranges and feeds of rows. Loop thread only.
+class fake_store
 {
 public:
-    explicit store_stand_in(asio::io_context& loop);
+    explicit fake_store(asio::io_context& loop);
 
     std::string address() const;
 
-    /// Writes a row as the operator does.
+    /// Writes a row as an operator would.
     void put(std::string const& table, std::string const& key,
              std::string const& value);
 
-    /// While false, calls get no answer, and every other write is applied.
+    /// While false, calls get no response, but every other write is applied.
     bool reachable{true};
 
 private:
