--- a/bench/budget.cpp
+++ b/bench/budget.cpp
@@ -123,12 +123,13 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app{"Measures budgets under traffic and faults, in virtual time, "
-                 "beside one table write a request and equal fixed shares"};
+    CLI::App app{
+        "Measures budgets under traffic and faults, in virtual time, "
+        "compared with one table write per request and equal fixed shares"};
     settings chosen;
     std::string policy = "both";
     bool as_json = false;
-    app.add_option("--seed", chosen.seed, "seed of traffic and lost answers");
+    app.add_option("--seed", chosen.seed, "seed of traffic and lost responses");
     app.add_option("--policy", policy, "budget policy, or both")
         ->check(
             CLI::IsMember({"overspend_first", "false_refusals_first", "both"}));
@@ -139,7 +140,7 @@
     app.add_option("--seconds", chosen.seconds, "length of the traffic")
         ->check(CLI::Range(10, 100'000));
     app.add_option("--paid-part", chosen.paid_part,
-                   "what is paid, as a part of what all traffic would cost");
+                   "paid part of the cost of all traffic");
     app.add_option("--durable-ms", chosen.durable_ms,
                    "settle interval under overspend_first");
     app.add_option("--deferred-ms", chosen.deferred_ms,
--- a/bench/budget_baselines.hpp
+++ b/bench/budget_baselines.hpp
@@ -62,7 +62,7 @@
                 truth.topped_up(c, paid[omniscient::index(c)] / 10);
             }
         }
-        truth.came(sums, one.customer);
+        truth.count_request(sums, one.customer);
         if (!truth.covers(one.customer, one.worst))
         {
             truth.refused(sums, one.customer, one.worst);
@@ -113,7 +113,7 @@
                 truth.topped_up(c, more);
             }
         }
-        truth.came(sums, one.customer);
+        truth.count_request(sums, one.customer);
         auto const vm = baseline_vm(chosen, plan, one, now);
         auto& back = returns[static_cast<std::size_t>(vm)][i];
         auto const reached = baseline_reaches_store(plan, vm, now);
@@ -190,7 +190,7 @@
                 }
             }
         }
-        truth.came(sums, one.customer);
+        truth.count_request(sums, one.customer);
         auto const vm = baseline_vm(chosen, plan, one, now);
         auto& own = free[static_cast<std::size_t>(vm)][i];
         if (own < one.worst)
--- a/bench/budget_fleet.hpp
+++ b/bench/budget_fleet.hpp
@@ -64,8 +64,9 @@
     void recover(router_ptr const& dead);
     void call(router_ptr const& at, store::transaction txn,
               std::function<void(store::commit_result)> done);
-    void look(router_ptr const& at, std::vector<budget_id> const& budgets);
-    void take_look(router_ptr const& at, budget_id const& budget, bool failed);
+    void refresh(router_ptr const& at, std::vector<budget_id> const& budgets);
+    void apply_refresh(router_ptr const& at, budget_id const& budget,
+                       bool failed);
     bool reaches_store(router_ptr const& at) const;
     bool is_paused(router_ptr const& at) const;
     router_ptr pick(int vm) const;
--- a/bench/budget_fleet_faults.hpp
+++ b/bench/budget_fleet_faults.hpp
@@ -68,7 +68,7 @@
         if (found != this->open.end())
         {
             auto const& wanted = this->traffic[found->second.number];
-            this->truth.unanswered(this->sums, wanted.customer, wanted.cost);
+            this->truth.response_lost(this->sums, wanted.customer, wanted.cost);
             this->open.erase(found);
         }
     }
--- a/bench/budget_fleet_run.hpp
+++ b/bench/budget_fleet_run.hpp
@@ -87,7 +87,7 @@
 inline void fleet::arrive(std::size_t number)
 {
     auto const& wanted = this->traffic[number];
-    this->truth.came(this->sums, wanted.customer);
+    this->truth.count_request(this->sums, wanted.customer);
     auto const at = this->pick(wanted.vm);
     budget_id const budget{"b" + std::to_string(wanted.customer)};
     auto const made = budget::make_share(budget, this->policy,
@@ -219,8 +219,8 @@
 }
 
 /// Makes one read, regardless of the number of budgets.
-inline void fleet::look(router_ptr const& at,
-                        std::vector<budget_id> const& budgets)
+inline void fleet::refresh(router_ptr const& at,
+                           std::vector<budget_id> const& budgets)
 {
     this->sums.reads += 1;
     auto const failed = !this->reaches_store(at);
@@ -229,13 +229,13 @@
                      {
                          for (auto const& budget : budgets)
                          {
-                             this->take_look(at, budget, failed);
+                             this->apply_refresh(at, budget, failed);
                          }
                      });
 }
 
-inline void fleet::take_look(router_ptr const& at, budget_id const& budget,
-                             bool failed)
+inline void fleet::apply_refresh(router_ptr const& at, budget_id const& budget,
+                                 bool failed)
 {
     auto& share = at->shares.at(budget);
     auto const now = this->loop.now();
@@ -254,7 +254,7 @@
 {
     if (this->step_budget(at, budget))
     {
-        this->look(at, {budget});
+        this->refresh(at, {budget});
     }
 }
 
@@ -333,17 +333,17 @@
 inline void fleet::tick(int vm)
 {
     auto const at = this->routers[static_cast<std::size_t>(vm)];
-    std::vector<budget_id> looks;
+    std::vector<budget_id> due_refreshes;
     for (auto const& [budget, share] : at->shares)
     {
         if (this->step_budget(at, budget))
         {
-            looks.push_back(budget);
+            due_refreshes.push_back(budget);
         }
     }
-    if (!looks.empty())
+    if (!due_refreshes.empty())
     {
-        this->look(at, looks);
+        this->refresh(at, due_refreshes);
     }
     this->pump_settlement(at);
     this->loop.after(fleet_times::tick, [this, vm] { this->tick(vm); });
--- a/bench/budget_traffic.hpp
+++ b/bench/budget_traffic.hpp
@@ -63,7 +63,8 @@
     "none, dead_router, cut_off, store_outage, paused, lost_answers, "
     "replace_all, top_up_cut_off";
 
-/// Returns an empty list for an unknown name; `main` rejects it.
+/// Returns a plan without faults for an unknown name; `main` rejects such
+/// names.
 inline fault_plan plan_of(settings const& chosen)
 {
     auto const part = [&chosen](int percent)
@@ -107,7 +108,7 @@
     return plan;
 }
 
-/// Customer sizes fall as 1/n: a few of them are large.
+/// Returns customer sizes that fall as 1/n, so that a few are large.
 inline std::vector<double> weights(int customers)
 {
     std::vector<double> all;
@@ -151,7 +152,7 @@
     }
 }
 
-/// Budgets that pay for a part of the traffic.
+/// Returns budgets that cover a part of the traffic.
 inline std::vector<token_count> make_budgets(settings const& chosen,
                                              std::vector<request> const& all)
 {
@@ -194,7 +195,8 @@
     bool ledger_is_sound{true};
 };
 
-/// Omniscient ledger of the tokens promised to and used by each request.
+/// Omniscient ledger, per customer, of the tokens promised to open requests and
+/// used by ended ones.
 class omniscient
 {
 public:
@@ -204,7 +206,7 @@
     {
     }
 
-    void came(figures& sums, int customer) const
+    void count_request(figures& sums, int customer) const
     {
         sums.requests += 1;
         sums.before_end += this->is_before_end(customer) ? 1 : 0;
@@ -241,7 +243,7 @@
     }
 
     /// The request completed, but its caller did not get the complete response.
-    void unanswered(figures& sums, int customer, token_count cost)
+    void response_lost(figures& sums, int customer, token_count cost)
     {
         sums.lost_with_router += 1;
         this->consumed[index(customer)] -= cost;
--- a/bench/capacity/requests.cpp
+++ b/bench/capacity/requests.cpp
@@ -72,7 +72,7 @@
         }
         if (this->failed > 0)
         {
-            throw std::runtime_error{"requests were not answered"};
+            throw std::runtime_error{"a request got a status other than 200"};
         }
     }
 
@@ -166,7 +166,7 @@
         {
             if (!ask_once(client, held))
             {
-                throw std::runtime_error{"a budget cannot be drawn on"};
+                throw std::runtime_error{"drawing tokens from a budget failed"};
             }
         }
         std::this_thread::sleep_for(settling);
--- a/bench/capacity/site.cpp
+++ b/bench/capacity/site.cpp
@@ -81,7 +81,7 @@
     auto const answer = client.Get("/stats");
     if (!answer)
     {
-        throw std::runtime_error{"the platform gives no counts"};
+        throw std::runtime_error{"the platform did not return its counts"};
     }
     auto const counted = nlohmann::json::parse(answer->body);
     return {counted.at("reads"), counted.at("writes")};
@@ -118,7 +118,7 @@
             [&] { return budget::top_up(store, {number(i)}, "first", paid); });
         if (raised.index() != 0)
         {
-            throw std::runtime_error{"a budget cannot be topped up"};
+            throw std::runtime_error{"topping up a budget failed"};
         }
     }
     submit(where, 0, make_configuration(where, customers));
@@ -126,7 +126,7 @@
     {
         if (i == most_tries)
         {
-            throw std::runtime_error{"the router does not get ready"};
+            throw std::runtime_error{"the router did not become ready"};
         }
         std::this_thread::sleep_for(pause);
     }
--- a/bench/configuration_size.cpp
+++ b/bench/configuration_size.cpp
@@ -161,7 +161,7 @@
 int main(int argc, char** argv)
 {
     std::vector<std::int64_t> sizes{100, 1'400, 5'600, 20'000};
-    CLI::App options{"What a configuration costs a router"};
+    CLI::App options{"Measures the cost of a configuration for a router"};
     options.add_option("--routes", sizes, "Numbers of routes");
     CLI11_PARSE(options, argc, argv);
     std::cout << "  routes       bytes   read ms   text ms  index ms"
--- a/bench/crash_record.cpp
+++ b/bench/crash_record.cpp
@@ -61,7 +61,7 @@
 int main(int argc, char** argv)
 {
     std::uint64_t seeds = 20;
-    CLI::App options{"What requests that crash servers cost"};
+    CLI::App options{"Measures the cost of requests that crash servers"};
     options.add_option("--seeds", seeds, "Runs of each shape");
     CLI11_PARSE(options, argc, argv);
     std::cout << "shape                                  crashes      late"
--- a/bench/outcomes.cpp
+++ b/bench/outcomes.cpp
@@ -221,16 +221,16 @@
 int main(int argc, char** argv)
 {
     options given;
-    CLI::App app{"what callers get while one thing goes wrong"};
+    CLI::App app{"Measures outcomes for callers during a single fault"};
     std::set<std::string> names;
     for (auto const& [name, measure] : measurements())
     {
         names.insert(name);
     }
-    app.add_option("--seed", given.seed, "of the order of faults");
+    app.add_option("--seed", given.seed, "seed of the order of faults");
     app.add_option("--fault", given.fault)->check(CLI::IsMember(names));
     app.add_option("--orders", given.orders);
-    app.add_option("--seconds", given.seconds, "of an engine outage");
+    app.add_option("--seconds", given.seconds, "length of an engine outage");
     app.add_flag("--json", given.as_json, "one line of JSON");
     CLI11_PARSE(app, argc, argv);
     auto result = measurements().at(given.fault)(given);
--- a/model/budget.pml
+++ b/model/budget.pml
@@ -1,23 +1,23 @@
 /*
- * Two routers draw on one budget, spend, settle and return; answers of the
- * table get lost, writes land late or twice, routers crash or pause (any
- * process may stand still for any time), two others recover the first one once
+ * Two routers draw on one budget, spend, settle and return; responses of the
+ * table are lost, writes take effect late or twice, routers crash or pause (any
+ * process may be delayed for any time), two others recover the first one once
  * it is dead, and the budget is topped up once.
  *
  * Broken variants, which the check must show to fail:
- *   LEASE_ONLY  a share is taken back because a lease has lapsed
- *   READ_BACK   a lost return is taken for failed because a read shows no change
- *   NO_HOLD     a recovery gives back tokens that may have been answered for
- *   NO_NUMBER   a batch of bills does not name its number
+ *   LEASE_ONLY  a share is recovered because a lease has expired
+ *   READ_BACK   a lost return counts as failed if a read shows no change
+ *   NO_HOLD     a recovery returns tokens that responses may have used
+ *   NO_NUMBER   a batch of bills does not carry its number
  */
 #define ROUTERS 2
 #define PAID 2
 #define TOPUP 1
 #ifndef STEPS
-#define STEPS 3 /* table writes of the first router, which bounds the search */
+#define STEPS 3 /* table writes of the first router, bounds the search */
 #endif
 #ifndef OTHER_STEPS
-#define OTHER_STEPS 1 /* and of the other */
+#define OTHER_STEPS 1 /* the same for the other router */
 #endif
 
 #define NONE 0
@@ -37,13 +37,13 @@
 bool has_share[ROUTERS];
 bool fenced[ROUTERS];
 
-/* the world */
+/* callers and routers, as seen from outside */
 bool dead[ROUTERS];
-byte answered[ROUTERS]; /* tokens of requests whose caller has the answer */
+byte answered[ROUTERS]; /* tokens of requests whose caller has the response */
 byte finished[ROUTERS]; /* tokens of all finished requests */
-bool bills_after;       /* false_refusals_first: answers before bills */
+bool bills_after;       /* false_refusals_first: responses precede bills */
 
-/* a write that its sender has given up, or a copy of one */
+/* a write that its sender has abandoned, or a copy of a write */
 /* (field names differ from the parameters of the inlines, which Spin replaces
    textually) */
 typedef late_write { byte what; byte base; byte row; byte tokens };
@@ -94,22 +94,23 @@
   check_table()
 }
 
-/* what the network makes of a call: `heard` is whether the sender learns it */
-inline send(r, kind, budget, own, amount, done, heard)
+/* delivery of a call by the network; `acknowledged` is true if the sender gets
+   the response */
+inline send(r, kind, budget, own, amount, done, acknowledged)
 {
   if
-  :: apply(r, kind, budget, own, amount, done); heard = true
-  :: apply(r, kind, budget, own, amount, done); heard = false
-  :: heard = false /* the call is lost */
-  :: late[r].what == NONE -> /* it lands later */
+  :: apply(r, kind, budget, own, amount, done); acknowledged = true
+  :: apply(r, kind, budget, own, amount, done); acknowledged = false
+  :: acknowledged = false /* the call is lost */
+  :: late[r].what == NONE -> /* takes effect later */
        late[r].what = kind; late[r].base = budget;
        late[r].row = own; late[r].tokens = amount;
-       heard = false
-  :: late[r].what == NONE -> /* it lands now, and a copy later */
+       acknowledged = false
+  :: late[r].what == NONE -> /* takes effect now, and a copy later */
        late[r].what = kind; late[r].base = budget;
        late[r].row = own; late[r].tokens = amount;
        apply(r, kind, budget, own, amount, done);
-       heard = true
+       acknowledged = true
   fi
 }
 
@@ -129,7 +130,7 @@
 {
   byte known;             /* share as last confirmed */
   byte version;
-  byte least;             /* counts while a lost write may still land */
+  byte least;             /* limit while a lost write may still take effect */
   bool doubtful;
   byte unsettled;
   byte settled;
@@ -138,7 +139,7 @@
   byte steps;
   byte seen;
   bool done;
-  bool heard;
+  bool acknowledged;
 
 end:
   do
@@ -159,18 +160,18 @@
        if
        :: dead[r]
        :: else ->
-         send(r, DRAW, seen, version, 1, done, heard);
+         send(r, DRAW, seen, version, 1, done, acknowledged);
          if
-         :: heard && done ->
+         :: acknowledged && done ->
               known++; version++; least = known; doubtful = false
-         :: heard && !done && share_version[r] != version && !fenced[r] ->
+         :: acknowledged && !done && share_version[r] != version && !fenced[r] ->
               known = share[r]; version = share_version[r];
               least = known; doubtful = false
-         :: heard && !done && (share_version[r] == version || fenced[r])
-         :: !heard -> doubtful = true
+         :: acknowledged && !done && (share_version[r] == version || fenced[r])
+         :: !acknowledged -> doubtful = true
          fi
        fi;
-       seen = 0; done = false; heard = false }
+       seen = 0; done = false; acknowledged = false }
 
   :: atomic { !dead[r] && steps < most && least > settled + unsettled ->
        steps++;
@@ -180,25 +181,25 @@
        if
        :: dead[r]
        :: else ->
-         send(r, GIVE_BACK, seen, version, (known - least), done, heard);
+         send(r, GIVE_BACK, seen, version, (known - least), done, acknowledged);
          if
-         :: heard && done ->
+         :: acknowledged && done ->
               known = least; version++; doubtful = false
-         :: heard && !done && share_version[r] != version && !fenced[r] ->
+         :: acknowledged && !done && share_version[r] != version && !fenced[r] ->
               known = share[r]; version = share_version[r];
               least = known; doubtful = false
-         :: heard && !done && (share_version[r] == version || fenced[r]) ->
-              /* this call did nothing, but an earlier one may be on its way */
+         :: acknowledged && !done && (share_version[r] == version || fenced[r]) ->
+              /* no effect, but an earlier call may be in transit */
               if
               :: !doubtful -> least = known
               :: else
               fi
-         :: !heard -> doubtful = true
+         :: !acknowledged -> doubtful = true
          fi
        fi;
-       seen = 0; done = false; heard = false }
+       seen = 0; done = false; acknowledged = false }
 
-  /* a look at the share row after a lost answer */
+  /* reads the share row after a lost response */
   :: atomic { !dead[r] && doubtful && !fenced[r] ->
        if
        :: share_version[r] != version ->
@@ -212,24 +213,24 @@
 #endif
        fi }
 
-  /* the same batch until it is known what became of it */
+  /* retries the same batch until its result is known */
   :: atomic { !dead[r] && steps < most && unsettled > 0 ->
        steps++;
        if
        :: batch == 0 -> batch = unsettled
        :: else
        fi;
-       send(r, SETTLE, 0, number, batch, done, heard);
+       send(r, SETTLE, 0, number, batch, done, acknowledged);
        if
-       :: heard && (done || batch_number[r] != number) ->
+       :: acknowledged && (done || batch_number[r] != number) ->
             unsettled = unsettled - batch;
             settled = settled + batch;
             number = batch_number[r];
             batch = 0
-       :: heard && !done && batch_number[r] == number
-       :: !heard
+       :: acknowledged && !done && batch_number[r] == number
+       :: !acknowledged
        fi;
-       done = false; heard = false }
+       done = false; acknowledged = false }
 
   :: atomic { !dead[r] -> dead[r] = true; break }
   od
@@ -243,7 +244,7 @@
 
 end:
 #ifdef LEASE_ONLY
-  atomic { has_share[r] -> skip }; /* a lease lapses at any moment */
+  atomic { has_share[r] -> skip }; /* a lease may expire at any time */
 #else
   atomic { dead[r] -> fenced[r] = true };
 #endif
@@ -251,7 +252,7 @@
   atomic { seen = budget_version; own = share_version[r] };
   atomic {
     if
-    :: !has_share[r] -> goto finish /* another one did it */
+    :: !has_share[r] -> goto finish /* another router has recovered it */
     :: has_share[r] && (seen != budget_version || own != share_version[r]) ->
          goto again
     :: else ->
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -1,25 +1,25 @@
 /* The claim on one request with an idempotency key.
 
-   A caller tries through any router and tries again through another one when it
-   got no answer. Routers pause (they are simply not scheduled), crash at any
-   step, and lose answers of the table; a write that was given up on may still
-   take effect later. A holder is fenced once it has crashed, and with
-   -DWRONG_PROOF also while it runs.
+   A caller sends through any router and retries through another one if it gets
+   no response. Routers pause (they are not scheduled), crash at any step, and
+   lose responses of the table; an abandoned write may still take effect later.
+   A holder is fenced once it has crashed, and with -DWRONG_PROOF also while it
+   runs.
 
-   Holds: a call that is not idempotent runs at most once, a request is billed
-   at most once, "not-run" is written only by a router that has not sent the
-   call, and an answer is never kept twice.
+   Invariants: a call that is not idempotent runs at most once, a request is
+   billed at most once, "not-run" is written only by a router that has not sent
+   the call, and a response is never stored twice.
 
    Variants that must fail:
-     -DRERUN      a claim whose holder is gone counts as not run
+     -DRERUN      a claim whose holder is fenced counts as not run
      -DLATE_CLAIM the claim is written after the call is sent
-     -DBLIND_END  an end is written whatever has become of the row */
+     -DBLIND_END  an end is written regardless of the state of the row */
 
 #ifndef ROUTERS
-#define ROUTERS 2 /* 3 are not searched through within minutes */
+#define ROUTERS 2 /* a search with 3 does not complete within minutes */
 #endif
 #ifndef CRASHES
-#define CRASHES 2 /* routers that may crash; the last one answers the caller */
+#define CRASHES 2 /* routers that may crash; the last one serves the caller */
 #endif
 #ifdef WRONG_PROOF
 #define MAY_FENCE(i) true
@@ -27,7 +27,7 @@
 #define MAY_FENCE(i) dead[i]
 #endif
 #ifndef WRITES
-#define WRITES 2 /* tries of one write before a router gives up */
+#define WRITES 2 /* attempts of one write before a router gives up */
 #endif
 
 mtype = { absent, claimed, done, notrun, unknown, none, applied, refused };
@@ -42,14 +42,14 @@
 bool fenced[ROUTERS];
 
 bool dead[ROUTERS];
-byte runs = 0;  /* as the service counts them */
+byte runs = 0;  /* as counted by the service */
 byte bills = 0;
 
 mtype reply[ROUTERS];
-byte awaited[ROUTERS]; /* number of the write whose answer counts */
+byte awaited[ROUTERS]; /* number of the write whose response is awaited */
 bool sent[ROUTERS];
 
-/* Writes on their way: router, number, expected version, new state, epoch. */
+/* Writes in transit: router, number, expected version, new state, epoch. */
 chan wire = [3] of { byte, byte, byte, mtype, byte };
 
 #ifdef BLIND_END
@@ -77,7 +77,7 @@
     fi;
     if
     :: awaited[r] == number -> reply[r] = reply_now
-    :: awaited[r] == number -> skip /* the answer is lost */
+    :: awaited[r] == number -> skip /* the response is lost */
     :: awaited[r] != number -> skip
     fi
 }
@@ -103,8 +103,8 @@
     od
 }
 
-/* A crash may come between any two steps, and the proof of it at any time
-   after that. A wrong proof comes while the router runs on. */
+/* A crash may happen between any two steps, and the proof of it at any later
+   time. A wrong proof comes while the router still runs. */
 #define step(id) \
     if \
     :: id < CRASHES -> atomic { dead[id] = true; goto crashed } \
@@ -121,7 +121,7 @@
     };
     if
     :: reply[id] != none -> skip
-    :: true -> skip /* waited in vain */
+    :: true -> skip /* timed out */
     fi;
     atomic { outcome = reply[id]; awaited[id] = 0 }
 }
@@ -134,7 +134,7 @@
     mtype seen, outcome;
     bool was_ours;
 
-look:
+read_row:
     step(id);
     atomic {
         seen = row;
@@ -145,12 +145,12 @@
     }
     if
     :: seen == done -> goto over    /* replayed */
-    :: was_ours ->                  /* a write of ours whose answer was lost */
+    :: was_ours ->                  /* our own write whose response was lost */
         mine = seen_epoch;
         goto dispatch
     :: seen == claimed && !was_ours ->
         if
-        :: !fenced[seen_holder] -> goto over /* 409, the caller asks again */
+        :: !fenced[seen_holder] -> goto over /* 409, the caller retries */
         :: fenced[seen_holder] ->
 #ifdef RERUN
             seen = notrun
@@ -178,8 +178,8 @@
     if
     :: outcome == applied -> goto dispatch
     :: outcome == refused && !fenced[id] && tries < WRITES ->
-        tries++; goto look
-    :: outcome == none && tries < WRITES -> tries++; goto look
+        tries++; goto read_row
+    :: outcome == none && tries < WRITES -> tries++; goto read_row
     :: else -> goto withdraw
     fi;
 
@@ -193,7 +193,7 @@
     }
 #endif
     step(id);
-    /* The claim's own row is the one after the version that was expected. */
+    /* The claim's version is the expected version plus one. */
     atomic { tries = 0; seen_version = (was_ours -> seen_version : seen_version + 1) }
     do
     :: tries < WRITES ->
@@ -201,15 +201,15 @@
         write(done, mine, seen_version);
         if
         :: outcome == applied -> break
-        :: outcome == refused -> break /* our earlier write, or lost to another */
+        :: outcome == refused -> break /* our earlier write or another router won */
         :: outcome == none -> tries++
         fi
-    :: tries == WRITES -> break /* tried on for as long as the process lives */
+    :: tries == WRITES -> break /* the code retries while the process lives */
     od;
     goto over;
 
 withdraw:
-    /* Only with no call sent: the claim may stand, or land later. */
+    /* Only if no call was sent: the claim may be written already, or later. */
     step(id);
     atomic { seen = row; seen_version = version; seen_epoch = epoch }
     if
--- a/model/transfer.pml
+++ b/model/transfer.pml
@@ -1,43 +1,43 @@
 /*
- * A coordinator gives tokens to another router by datagrams that are lost, late or
- * doubled. Both spend, write their spend rows, crash at any moment and are
- * followed by a process at the same address, which takes over what the row of
- * the dead one leaves.
+ * A coordinator transfers tokens to another router by datagrams that are lost,
+ * late or duplicated. Both spend, write their spend rows, crash at any time and
+ * are replaced by a process at the same address, which takes over the tokens
+ * that the row of the dead one leaves.
  *
  * Broken variants, which the check must show to fail:
- *   TWICE      a datagram that comes twice counts twice
- *   ANY_LIFE   a process takes what was sent to the one before it
- *   ABOVE_LINE tokens are given that a successor of the coordinator takes over
- *   NO_LINE    all that is held may be spent, whatever a successor takes over
+ *   TWICE      a duplicated datagram counts twice
+ *   ANY_LIFE   a process accepts transfers sent to its predecessor
+ *   ABOVE_LINE tokens are transferred that a coordinator's successor takes over
+ *   NO_LINE    all held tokens may be spent, also what a successor takes over
  */
 #define PAID 3
 #define GIVES 3
-#define STEPS 8 /* of each router, which bounds the search */
+#define STEPS 8 /* of each router, bounds the search */
 
-#define STEWARD 0
+#define COORDINATOR 0
 #define OTHER 1
 
-/* the store: a line and what was received, for each address; the coordinator has
-   drawn the whole budget */
-byte line[2];
+/* the store: spend limit and received tokens of each address; the coordinator
+   has drawn the whole budget */
+byte spend_limit[2];
 byte row_received[2];
 
 /* the routers */
-byte used[2];     /* spent and given away */
+byte used[2];     /* spent and transferred */
 byte received[2]; /* in memory */
 byte life;        /* of the other router */
 byte given;       /* transfers so far */
 byte sent_to[GIVES];
 bool on_wire[GIVES];
-bool taken[GIVES]; /* by the living other router */
+bool taken[GIVES]; /* by the current process of the other router */
 
-/* the world */
-byte served; /* tokens of callers that have their answer */
+/* callers */
+byte served; /* tokens of callers that have their response */
 
-#define GRANTED(i) (i == STEWARD -> PAID : 0)
+#define GRANTED(i) (i == COORDINATOR -> PAID : 0)
 #define LEFT(i)                                                                \
-  (GRANTED(i) + row_received[i] > line[i]                                      \
-       -> GRANTED(i) + row_received[i] - line[i] : 0)
+  (GRANTED(i) + row_received[i] > spend_limit[i]                               \
+       -> GRANTED(i) + row_received[i] - spend_limit[i] : 0)
 #ifdef NO_LINE
 #define LIMIT(i) (GRANTED(i) + received[i])
 #else
@@ -47,9 +47,9 @@
 inline write_row(i)
 {
   atomic {
-    line[i] = used[i];
+    spend_limit[i] = used[i];
     if
-    :: line[i] < GRANTED(i) + received[i] -> line[i]++
+    :: spend_limit[i] < GRANTED(i) + received[i] -> spend_limit[i]++
     :: true
     fi;
     row_received[i] = received[i]
@@ -67,18 +67,18 @@
   }
 }
 
-/* the process dies, and the next one reads its row */
+/* the process dies, and its successor reads its row */
 inline replace(i)
 {
   atomic {
-    used[i] = line[i];
+    used[i] = spend_limit[i];
     if
     :: used[i] > GRANTED(i) + row_received[i] ->
        used[i] = GRANTED(i) + row_received[i]
     :: else -> skip
     fi;
     received[i] = row_received[i];
-    line[i] = used[i]
+    spend_limit[i] = used[i]
   }
 }
 
@@ -87,11 +87,11 @@
   atomic {
     if
 #ifdef ABOVE_LINE
-    :: given < GIVES && used[STEWARD] < PAID + received[STEWARD] ->
+    :: given < GIVES && used[COORDINATOR] < PAID + received[COORDINATOR] ->
 #else
-    :: given < GIVES && used[STEWARD] < LIMIT(STEWARD) ->
+    :: given < GIVES && used[COORDINATOR] < LIMIT(COORDINATOR) ->
 #endif
-       used[STEWARD]++;
+       used[COORDINATOR]++;
        sent_to[given] = life;
        on_wire[given] = true;
        given++
@@ -127,10 +127,10 @@
   :: step < STEPS ->
      step++;
      if
-     :: true -> write_row(STEWARD)
-     :: true -> spend(STEWARD)
+     :: true -> write_row(COORDINATOR)
+     :: true -> spend(COORDINATOR)
      :: true -> give()
-     :: true -> replace(STEWARD)
+     :: true -> replace(COORDINATOR)
      fi
   :: else -> break
   od
--- a/scripts/fleet/demo.py
+++ b/scripts/fleet/demo.py
@@ -1,4 +1,4 @@
-"""Plays the demo; see scripts/demo."""
+"""Runs the demo; see scripts/demo."""
 
 import json
 import pathlib
@@ -28,7 +28,7 @@
 
 
 def play(site, phase, seed, event):
-    """Sends one load, lets `event` happen in the middle of it."""
+    """Sends one load and triggers `event` in the middle of it."""
     load = Load(site, phase, seed)
     time.sleep(EVENT_SECONDS)
     event()
@@ -61,7 +61,7 @@
 
 
 def wait_for_recovery(site, incarnation):
-    """The dead router's shares are to be taken over by the others."""
+    """Waits until the other routers have taken over the dead router's shares."""
     start = time.monotonic()
     while time.monotonic() - start < RECOVERY_SECONDS:
         held = [key for key, _ in scan(site.platform, "share/")
@@ -111,7 +111,7 @@
 
 
 def streamed_id(records):
-    """A request whose tree is worth a look: a repeated one if there is any."""
+    """Returns the id of the stream with the most attempts, to show its trace."""
     streams = [one for one in records if one["kind"] == "stream"]
     return max(streams, key=lambda one: one["attempts"])["request_id"]
 
@@ -148,7 +148,7 @@
 
 def main():
     # SIGTERM ends the fleet as Ctrl-C does. A shell starts background jobs
-    # with Ctrl-C ignored; without a handler of our own the fleet would stay.
+    # with SIGINT ignored; without these handlers the fleet would keep running.
     for stop in (signal.SIGINT, signal.SIGTERM):
         signal.signal(stop, signal.default_int_handler)
     folder = ROOT / "build" / "demo"
--- a/scripts/fleet/fleet.py
+++ b/scripts/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""The demo's fleet: stand-ins, three routers, configuration, customers."""
+"""The demo's fleet: emulators, three routers, configuration, customers."""
 
 import json
 import subprocess
@@ -35,7 +35,7 @@
 
 
 class Site:
-    """Everything the demo starts. Not thread safe."""
+    """All processes and state of the demo. Not thread safe."""
 
     def __init__(self, binaries, folder):
         self.binaries = binaries
@@ -103,7 +103,7 @@
             "routing": {"policy": "least_outstanding"}}
 
     def operate(self, *words):
-        """Runs caperpathctl and returns what it printed."""
+        """Runs caperpathctl and returns its decoded output."""
         command = [str(self.binaries / "caperpathctl"), "--json", "--settings",
                    str(self.operator_file), *words]
         done = subprocess.run(command, capture_output=True, text=True,
@@ -131,13 +131,13 @@
             f"{vm} is not ready, see {vm}.log")
 
     def stop_router(self, vm):
-        """A planned stop: drained, ended by itself, then destroyed."""
+        """Makes a planned stop: the router drains and exits; its VM is removed."""
         ended = self.processes.stop(vm)
         self.remove_vm(vm)
         return ended
 
     def kill_router(self, vm):
-        """The VM dies; the platform's list shows it gone."""
+        """Kills the router and removes its VM from the platform's list."""
         self.processes.kill(vm)
         self.remove_vm(vm)
 
@@ -157,8 +157,8 @@
         self.wait_until(settled, "bills were not settled in time")
 
     @staticmethod
-    def check(answer, step):
-        if answer[0] != 200:
+    def check(response, step):
+        if response[0] != 200:
             raise Failure(f"the platform refused: {step} ({answer[0]})")
 
     @staticmethod
--- a/scripts/fleet/ledger.py
+++ b/scripts/fleet/ledger.py
@@ -1,4 +1,4 @@
-"""What really happened, read from the platform's table and the services."""
+"""Actual bills and executions, read from the platform and the services."""
 
 import json
 from collections import Counter, defaultdict
@@ -9,7 +9,7 @@
 
 
 def scan(platform, prefix):
-    """All rows under `prefix`, as key and decoded value."""
+    """Returns all rows under `prefix` as pairs of key and decoded value."""
     rows, after = [], ""
     while True:
         status, page = call("POST", platform, "/table/scan",
@@ -23,7 +23,7 @@
 
 
 class Ledger:
-    """All bills at one moment."""
+    """Snapshot of all bills."""
 
     def __init__(self, platform):
         self.bills = [bill for _, batch in scan(platform, "ledger/")
@@ -42,7 +42,7 @@
 
 
 def executions(addresses):
-    """How often each order ran, over all plain services."""
+    """Returns the executions of each order, summed over all plain services."""
     runs = Counter()
     for address in addresses:
         status, counted = call("GET", address, "/executions")
--- a/scripts/fleet/load.py
+++ b/scripts/fleet/load.py
@@ -1,4 +1,4 @@
-"""The demo's traffic: what Ruedaviva's and the Guild's customers send."""
+"""The demo's traffic: requests of the customers of Ruedaviva and the Guild."""
 
 import json
 import subprocess
@@ -65,7 +65,7 @@
                 [str(site.binaries / "caperpath-load"), "--settings", str(file),
                  "--requests", str(self.requests)],
                 stdout=log, stderr=log, start_new_session=True)
-        # Ended with the fleet when the demo is interrupted.
+        # Registered so that it ends with the fleet if the demo is interrupted.
         site.processes.running[name] = Process(name, self.handle,
                                                {"listening": ""})
 
--- a/scripts/fleet/processes.py
+++ b/scripts/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a small fleet, each by its own id."""
+"""Starts and ends the processes of a small fleet, each by its process id."""
 
 import json
 import select
@@ -12,11 +12,11 @@
 
 
 class Failure(Exception):
-    """Something that the fleet needs did not work; the text says what."""
+    """A step that the fleet needs has failed; the text names it."""
 
 
 class Process:
-    """One running binary and the line that it printed when it was ready."""
+    """A running binary and the line that it printed once it was ready."""
 
     def __init__(self, name, handle, ready):
         self.name = name
@@ -26,8 +26,8 @@
 
 
 class Processes:
-    """Use in a `with` block: whatever was started is ended when it is left, by
-    an error or Ctrl-C too. Not thread safe."""
+    """Ends all started processes when its `with` block is left, also by an error
+    or Ctrl-C. Not thread safe."""
 
     def __init__(self, binaries, folder):
         self.binaries = binaries
@@ -46,12 +46,12 @@
         return file
 
     def start(self, name, binary, settings):
-        """Starts `binary` and waits for the line that says where it listens."""
+        """Starts `binary` and waits for the line with its address."""
         command = [str(self.binaries / binary), "--settings",
                    str(self.write(name, settings))]
         with open(self.folder / f"{name}.log", "a") as log:
-            # A session of its own: Ctrl-C reaches this script alone, which
-            # then ends the processes in order.
+            # Uses a separate session, so that Ctrl-C reaches only this script,
+            # which then ends the processes in order.
             handle = subprocess.Popen(command, stdout=subprocess.PIPE,
                                       stderr=log, text=True,
                                       start_new_session=True)
@@ -64,7 +64,8 @@
         return self.running[name]
 
     def stop(self, name):
-        """Asks for a planned stop and waits; True if it ended by itself."""
+        """Requests a planned stop and waits. Returns True if the process exited
+        with code 0 in time."""
         process = self.running.pop(name)
         process.handle.send_signal(signal.SIGTERM)
         try:
@@ -81,9 +82,9 @@
         process.handle.wait()
 
     def end_all(self):
-        """Ends in reverse order of the start: routers before the platform.
-        What was started last has the least depending on it."""
-        # A second Ctrl-C in here would leave the rest of them running.
+        """Ends the processes in reverse start order, since later ones depend on
+        earlier ones: routers before the platform."""
+        # A second Ctrl-C here would leave the remaining processes running.
         for stop in (signal.SIGINT, signal.SIGTERM):
             signal.signal(stop, signal.SIG_IGN)
         for name in reversed(list(self.running)):
@@ -93,16 +94,17 @@
 
 
 def call(method, address, path, body=None, timeout=5):
-    """One HTTP call; returns the status and the decoded JSON, or None."""
+    """Makes one HTTP call. Returns the status (0 if the call failed) and the
+    decoded JSON or None."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(f"http://{address}{path}", data,
                                      method=method)
     request.add_header("Content-Type", "application/json")
     try:
-        with urllib.request.urlopen(request, timeout=timeout) as answer:
-            return answer.status, decode(answer.read())
-    except urllib.error.HTTPError as refusal:
-        return refusal.code, decode(refusal.read())
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            return response.status, decode(response.read())
+    except urllib.error.HTTPError as http_error:
+        return http_error.code, decode(http_error.read())
     except OSError:
         return 0, None
 
--- a/scripts/fleet/verdict.py
+++ b/scripts/fleet/verdict.py
@@ -1,4 +1,4 @@
-"""Holds what callers were told against the ledger and the services."""
+"""Checks the outcomes reported to callers against ledger and services."""
 
 from collections import Counter, defaultdict
 
@@ -14,7 +14,8 @@
 
 
 def is_false_refusal(record, left_before_top_up):
-    """A refusal of a customer whose budget would have covered the request."""
+    """Returns True for a rejection although the budget would have covered the
+    request."""
     if record["ending"] != "refused":
         return False
     out = (record["status"] == OUT_OF_BUDGET and
@@ -23,7 +24,8 @@
 
 
 class Verdict:
-    """`records` of all phases, the ledger and the counted orders at the end."""
+    """Compares the records of all phases with the final ledger and the
+    execution counts."""
 
     def __init__(self, records, ledger, runs, left_before_top_up):
         self.records = records
@@ -51,7 +53,7 @@
             "cut off although no router died")
 
     def find(self, holds, complaint):
-        """Counts by customer; each one is a broken promise."""
+        """Returns counts by customer and adds each group to the violations."""
         found = [one for one in self.records if holds(one)]
         groups = defaultdict(list)
         for one in found:
@@ -111,7 +113,7 @@
             "lost": self.lost[name] + self.wrong[name] + self.cut[name]}
 
     def refusals(self):
-        """Why requests were refused in the end: (customer, code): count."""
+        """Returns the counts of final rejections by (customer, code)."""
         return Counter((one["customer"], f"{one['status']} {one['code']}")
                        for one in self.records if one["ending"] == "refused")
 
--- a/scripts/lint_changed.py
+++ b/scripts/lint_changed.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Runs clang-tidy on the files of a compilation database that were not clean
-before: lint_changed.py BUILD_DIR.
+"""Runs clang-tidy on the files of a compilation database that have no
+cached clean result: lint_changed.py BUILD_DIR.
 
-A clean result is kept under a hash of all that decides it: the preprocessed
+A clean result is cached under a hash of all its inputs: the preprocessed
 source with its line markers, the compiler's flags, the rules and the version
-of clang-tidy. Exits with 1 and prints what was found if anything was."""
+of clang-tidy. Exits with 1 and prints the findings, if any."""
 
 import concurrent.futures
 import hashlib
@@ -20,7 +20,7 @@
 
 
 def rules():
-    """The linter's version and every file of rules."""
+    """Returns the linter's version and the content of every rule file."""
     text = subprocess.run(["clang-tidy", "--version"], check=True, capture_output=True, text=True).stdout
     for path in sorted(ROOT.rglob(".clang-tidy")):
         if "build" not in path.relative_to(ROOT).parts:
@@ -29,7 +29,7 @@
 
 
 def key_of(entry, fixed):
-    """A hash of all that decides what clang-tidy finds in one file."""
+    """Returns a hash of all inputs of clang-tidy for one file."""
     command = shlex.split(entry["command"])
     if command[0].endswith("ccache"):
         command = command[1:]
@@ -40,7 +40,7 @@
             next(words)
         elif word not in ("-c", "-MD"):
             flags.append(word)
-    # With macros and comments: rules and NOLINT marks apply to both.
+    # Keeps macros and comments, since rules and NOLINT marks apply to both.
     source = subprocess.run(["clang++", *flags, "-E", "-C", "-dD", "-w"],
                             cwd=entry["directory"], capture_output=True, check=True).stdout
     whole = fixed + "\0" + " ".join(flags)
@@ -51,11 +51,11 @@
 
 
 def lint(entry, build, fixed):
-    """Returns what was found in one file; nothing if it is clean."""
+    """Returns the findings of one file, or an empty string if it is clean."""
     try:
         mark = CACHE / key_of(entry, fixed)
     except (subprocess.CalledProcessError, FileNotFoundError, ValueError):
-        mark = None  # clang-tidy tells what is wrong
+        mark = None  # clang-tidy reports the fault
     if mark is not None and mark.exists():
         return ""
     done = subprocess.run(["clang-tidy", f"-p={build}", "-quiet", entry["file"]],
--- a/tests/capacity/page_test.cpp
+++ b/tests/capacity/page_test.cpp
@@ -25,7 +25,7 @@
 
 constexpr std::int64_t ms_per_second = 1'000;
 
-/// The fleet in two years, as the page's tables have it.
+/// Fleet size in two years, as in the page's tables.
 constexpr std::int64_t nodes = 390;
 constexpr std::int64_t engines = 2'100;
 
@@ -67,7 +67,8 @@
     return static_cast<std::int64_t>(text.size());
 }
 
-/// A budget that is spread over the fleet, in figures of a usual length.
+/// Encoded sizes for a budget that is spread over the fleet, with numbers of
+/// typical length.
 figures encoded_sizes()
 {
     budget::budget_row const budget{1'000'000'000, 500'000'000, 100'000'000, 0,
@@ -126,7 +127,7 @@
              static_cast<std::int64_t>(store::wire::max_scan_rows)}};
 }
 
-/// The shortest and the longest pause that `backoff` ever gives.
+/// Shortest and longest pause that `backoff` returns.
 figures pauses()
 {
     constexpr int failures = 40;
@@ -155,7 +156,7 @@
     return all;
 }
 
-/// What the whole fleet asks of its peers with the constants above.
+/// Request rates of the whole fleet that follow from the constants above.
 figures fleet_rates()
 {
     router::settings const router;
@@ -174,7 +175,7 @@
          batch * a_second(router.settle_interval)}};
 }
 
-std::string listed(figures const& all)
+std::string to_table_rows(figures const& all)
 {
     std::ostringstream out;
     for (auto const& [name, value] : all)
@@ -186,9 +187,9 @@
 
 } // namespace
 
-/// A period or a row is changed in the code and the page goes on naming the old
-/// figure. Whoever plans a fleet by the page finds the table service
-/// overloaded, and nothing in the page tells why.
+/// Guards against a capacity page that still has the old figure after a period
+/// or row has changed in the code. A fleet planned by such a page overloads the
+/// table service.
 class page_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(page_test);
@@ -198,14 +199,14 @@
 
     void constants_are_those_of_the_code()
     {
-        CPPUNIT_ASSERT_EQUAL(listed(constants()),
-                             listed(read_table("Constants")));
+        CPPUNIT_ASSERT_EQUAL(to_table_rows(constants()),
+                             to_table_rows(read_table("Constants")));
     }
 
     void rates_follow_from_the_constants()
     {
-        CPPUNIT_ASSERT_EQUAL(listed(fleet_rates()),
-                             listed(read_table("Rates of the fleet")));
+        CPPUNIT_ASSERT_EQUAL(to_table_rows(fleet_rates()),
+                             to_table_rows(read_table("Rates of the fleet")));
     }
 };
 
--- a/tests/soak/soak_record.cpp
+++ b/tests/soak/soak_record.cpp
@@ -68,7 +68,7 @@
          << (how.closed ? ", connection closed: " + how.fault : "");
     this->note(id, text.str());
     this->count("status " + std::to_string(how.status) +
-                (how.whole ? "" : " incomplete"));
+                (how.whole ? "" : " cut"));
     of.rejected = how.whole && (how.status == 503 || how.status == 429);
     this->check_outcome(id, of, how);
 }
@@ -140,7 +140,7 @@
                                of.history);
         return;
     }
-    this->count("in flight at a close: " + how.fault);
+    this->count("crossed a close: " + how.fault);
     this->note(id, "it was in flight at the close");
 }
 
