--- a/model/claim.pml
+++ b/model/claim.pml
@@ -201,7 +201,7 @@
         write(done, mine, seen_version);
         if
         :: outcome == applied -> break
-        :: outcome == refused -> break /* our earlier write or another router won */
+        :: outcome == refused -> break /* our earlier or another write won */
         :: outcome == none -> tries++
         fi
     :: tries == WRITES -> break /* the code retries while the process lives */
