--- a/bench/budget_fleet.hpp
+++ b/bench/budget_fleet.hpp
@@ -19,8 +19,8 @@
 namespace caperpath::bench
 {
 
-/// A fleet of routers over the pure core and one table, with the traffic and
-/// the faults of the settings. Not thread safe.
+/// Simulated fleet of routers on one table, with the traffic and the faults of
+/// the settings. Not thread safe.
 class fleet
 {
 public:
@@ -36,7 +36,7 @@
         std::map<budget_id, budget::share_state> shares;
         budget::settlement_state settlement;
         bool dead{false};
-        bool unready{false}; ///< the balancer sends it nothing
+        bool unready{false}; ///< the load balancer sends it no requests
     };
     struct open_request
     {
@@ -64,8 +64,9 @@
     void recover(router_ptr const& dead);
     void call(router_ptr const& at, store::transaction txn,
               std::function<void(store::commit_result)> done);
-    void look(router_ptr const& at, std::vector<budget_id> const& budgets);
-    void take_look(router_ptr const& at, budget_id const& budget, bool failed);
+    void refresh(router_ptr const& at, std::vector<budget_id> const& budgets);
+    void apply_refresh(router_ptr const& at, budget_id const& budget,
+                       bool failed);
     bool reaches_store(router_ptr const& at) const;
     bool is_paused(router_ptr const& at) const;
     router_ptr pick(int vm) const;
@@ -82,7 +83,7 @@
     std::shared_ptr<store::memory_table> table;
     store::port direct;
     std::vector<router_ptr> routers;
-    router_ptr first; ///< the one that faults of one VM meet
+    router_ptr first; ///< target of faults of one VM
     std::unordered_map<std::string, open_request> open;
     budget::settle_options settle;
     figures sums;
--- a/bench/configuration_size.cpp
+++ b/bench/configuration_size.cpp
@@ -19,8 +19,8 @@
 #include <string>
 #include <vector>
 
-/// Measures what a configuration costs a router, by its number of routes: the
-/// read from a store on loopback, the reading of its text, the index.
+/// Measures the cost of a configuration for a router by its number of routes:
+/// the read from a store on loopback, parsing, and building the index.
 namespace
 {
 
@@ -105,7 +105,7 @@
         .dump();
 }
 
-/// The configuration as a router gets it from a store, and what that took.
+/// The configuration as read from a store, and the time of the read.
 store::feed_page read(std::string const& body, double& took)
 {
     boost::asio::io_context loop;
@@ -161,7 +161,7 @@
 int main(int argc, char** argv)
 {
     std::vector<std::int64_t> sizes{100, 1'400, 5'600, 20'000};
-    CLI::App options{"What a configuration costs a router"};
+    CLI::App options{"Measures the cost of a configuration for a router"};
     options.add_option("--routes", sizes, "Numbers of routes");
     CLI11_PARSE(options, argc, argv);
     std::cout << "  routes       bytes   read ms   text ms  index ms"
