--- a/include/caperpath/config/codec.hpp
+++ b/include/caperpath/config/codec.hpp
@@ -22,31 +22,31 @@
 /// failure domain, in bytes.
 inline constexpr std::size_t max_name_length = 64;
 
-/// Most keys of one customer: enough to replace one while the old one is still
-/// in use, few enough that trying all costs little.
+/// Most keys of one customer. Eight allow an operator to replace a key while
+/// the old one is still in use, and keep the cost of trying all of them low.
 inline constexpr std::size_t max_keys = 8;
 
-/// True for 1 to 64 letters, digits, '.', '_' and '-', not starting with '.' or
-/// '-'. Such a name needs no escaping in a path, a row's key or a customer's
-/// key. Thread safe.
+/// True if `text` has 1 to 64 letters, digits, '.', '_' and '-' and does not
+/// start with '.' or '-'. Such a name needs no escaping in a path, a row's key
+/// or a customer's key. Thread safe.
 bool is_name(std::string_view text);
 
-/// Reads a whole document and checks it: references, ranges, names, routing
-/// policy, keys and addresses that stand twice. Adds each fault by its path;
-/// the returned document is usable only if none was added. Thread safe.
+/// Reads and checks a whole document: references, ranges, names, the routing
+/// policy, and duplicate keys and addresses. Adds each fault with its path; the
+/// returned document is usable only if none was added. Thread safe.
 document parse_document(nlohmann::json const& value,
                         std::vector<fault>& faults);
 
-/// Every member is written, also those with a default value, so that equal
+/// Writes every member, including those with a default value, so that equal
 /// documents have equal text. Thread safe.
 nlohmann::json to_json(document const& source);
 
-/// Parses JSON text. A syntax fault or a key that stands twice in one object is
-/// added to `faults`; nlohmann::json alone would silently keep the last of two
-/// customers of the same name. Thread safe.
+/// Parses JSON text. Adds syntax errors and duplicate keys in an object to
+/// `faults`; nlohmann::json alone would silently keep the last of two customers
+/// with the same name. Thread safe.
 nlohmann::json parse_text(std::string const& text, std::vector<fault>& faults);
 
-/// Thread safe. "overspend_first" or "false_refusals_first".
+/// Returns "overspend_first" or "false_refusals_first". Thread safe.
 std::string_view to_string(budget_policy policy);
 
 } // namespace caperpath::config
--- a/include/caperpath/config/document.hpp
+++ b/include/caperpath/config/document.hpp
@@ -12,18 +12,19 @@
 namespace caperpath::config
 {
 
-/// Which of the users' two measures a budget puts first.
+/// The measure that a budget puts first.
 enum class budget_policy
 {
-    overspend_first, ///< the Guild: a bill is durable before the answer ends
-    false_refusals_first ///< Ruedaviva: larger shares, bills settled after
+    overspend_first,     ///< a bill is durable before the response ends
+    false_refusals_first ///< larger shares; bills are settled afterwards
 };
 
 /// A salted hash of a customer's key; the key itself is never stored.
 struct key_hash
 {
-    std::string salt;   ///< hexadecimal
-    std::string sha256; ///< hexadecimal SHA-256 of salt bytes then key
+    std::string salt; ///< hexadecimal
+    std::string
+        sha256; ///< hexadecimal SHA-256 of the salt bytes followed by the key
 
     friend bool operator==(key_hash const&, key_hash const&) = default;
 };
@@ -32,14 +33,14 @@
 {
     std::vector<key_hash> keys;
     budget_id budget;
-    std::int64_t max_concurrent{64}; ///< open requests over the fleet
+    std::int64_t max_concurrent{64}; ///< open requests in the whole fleet
     std::int64_t tokens_per_second{100'000};
-    int priority{0}; ///< larger goes first
+    int priority{0}; ///< higher values go first
 
     friend bool operator==(customer const&, customer const&) = default;
 };
 
-/// The paid amount is a row of the table, not part of the configuration.
+/// The paid amount is not part of the configuration; it is a row of the table.
 struct budget
 {
     budget_policy policy{budget_policy::overspend_first};
@@ -64,14 +65,14 @@
     std::string method; ///< upper case, or "*"
     std::string path_prefix;
     bool idempotent{false};
-    token_count price{0}; ///< budget tokens a call
+    token_count price{0}; ///< budget tokens per call
 
     friend bool operator==(service_call const&, service_call const&) = default;
 };
 
 struct service
 {
-    std::vector<service_call> calls; ///< the first match counts
+    std::vector<service_call> calls; ///< the first match applies
 
     friend bool operator==(service const&, service const&) = default;
 };
@@ -88,8 +89,8 @@
     std::string serves;  ///< name of the model or the service
     std::string address; ///< "IP:port"
     failure_domain_id failure_domain;
-    bool checks_fencing{false}; ///< refuses orders with an old fencing number
-    bool leaving{false};        ///< gets no new work
+    bool checks_fencing{false}; ///< rejects commands with an old fencing number
+    bool leaving{false};        ///< draining: gets no new requests
 
     friend bool operator==(backend_server const&,
                            backend_server const&) = default;
@@ -103,8 +104,8 @@
     friend bool operator==(routing const&, routing const&) = default;
 };
 
-/// One numbered version of everything operators decide. Immutable once built;
-/// a request holds one `shared_ptr<document const>` from start to end.
+/// One numbered version of the whole configuration. Immutable once built; a
+/// request holds one `shared_ptr<document const>` from start to end.
 struct document
 {
     std::uint64_t version{};
--- a/include/caperpath/config/json_reader.hpp
+++ b/include/caperpath/config/json_reader.hpp
@@ -13,7 +13,7 @@
 namespace caperpath::config
 {
 
-/// One fault of a document, named by its JSON path. Immutable value.
+/// One fault of a document, located by its JSON path. Immutable value.
 struct fault
 {
     std::string path;   ///< for example "/customers/taller/budget"
@@ -23,8 +23,9 @@
 };
 
 /// Reads one JSON object member by member and collects every fault instead of
-/// stopping at the first. Members never asked for are unknown: `finish` names
-/// the nearest known one. Not thread safe; use one reader on one thread.
+/// stopping at the first. `finish` reports members that were never read as
+/// unknown and names the nearest known one. Not thread safe; use one reader on
+/// one thread.
 class json_reader
 {
 public:
@@ -32,38 +33,41 @@
     json_reader(nlohmann::json const& value, std::string path,
                 std::vector<fault>& faults);
 
-    /// Text; a fault if missing and `fallback` is null. @pre none.
+    /// Returns a text member; adds a fault if it is missing and `fallback` is
+    /// null.
     std::string text(std::string_view key, char const* fallback = nullptr);
 
-    /// A whole number in [least, most]; `unit` is named in a fault.
+    /// Returns an integer in [least, most]; a fault names its `unit`.
     std::int64_t whole(std::string_view key, std::string_view unit,
                        std::int64_t least, std::int64_t most);
 
-    /// As `whole`, with a value for a missing member.
+    /// As `whole`, but returns `fallback` for a missing member.
     std::int64_t whole_or(std::string_view key, std::string_view unit,
                           std::int64_t least, std::int64_t most,
                           std::int64_t fallback);
 
-    /// A number in [least, most], also with a fraction, or `fallback` for a
-    /// missing member; `unit` is named in a fault.
+    /// Returns a number in [least, most], which may have a fraction, or
+    /// `fallback` for a missing member; a fault names its `unit`.
     double real_or(std::string_view key, std::string_view unit, double least,
                    double most, double fallback);
 
     bool boolean_or(std::string_view key, bool fallback);
 
-    /// "IP:port" with a numeric IPv4 address; a fault otherwise.
+    /// Returns "IP:port" with a numeric IPv4 address; adds a fault otherwise.
     std::string address(std::string_view key);
 
-    /// As `address`, but port 0 is allowed and means any free port.
+    /// As `address`, but also allows port 0, which means any free port.
     std::string listen_address(std::string_view key);
 
-    /// Calls `read` for each member of the object `key`; nothing if missing.
+    /// Calls `read` for each member of the object `key`; does nothing if it is
+    /// missing.
     void each_member(
         std::string_view key,
         std::function<void(std::string const& name, nlohmann::json const& value,
                            std::string const& path)> const& read);
 
-    /// Calls `read` for each element of the array `key`; nothing if missing.
+    /// Calls `read` for each element of the array `key`; does nothing if it is
+    /// missing.
     void each_element(std::string_view key,
                       std::function<void(nlohmann::json const& value,
                                          std::string const& path)> const& read);
@@ -71,10 +75,10 @@
     /// Adds a fault at member `key`.
     void reject(std::string_view key, std::string detail);
 
-    /// True when the member is there.
+    /// True if the member exists.
     bool has(std::string_view key);
 
-    /// Call last: adds a fault for every member nobody asked for.
+    /// Adds a fault for every member that was never read. Call it last.
     void finish();
 
 private:
@@ -87,15 +91,16 @@
     std::vector<std::string> known;
 };
 
-/// The member of `known` with the smallest edit distance to `word`, or empty
-/// when none is near (more than half of the word differs). Thread safe.
+/// Returns the member of `known` with the smallest edit distance to `word`, or
+/// an empty string if more than half of the word differs from each. Thread
+/// safe.
 std::string nearest_name(std::string const& word,
                          std::vector<std::string> const& known);
 
-/// True for "a.b.c.d:port" with numbers in range. Thread safe.
+/// True if `text` is "a.b.c.d:port" with numbers in range. Thread safe.
 bool is_address(std::string const& text);
 
-/// As `is_address`, or with port 0. Thread safe.
+/// As `is_address`, but also allows port 0. Thread safe.
 bool is_listen_address(std::string const& text);
 
 } // namespace caperpath::config
--- a/include/caperpath/config/keys.hpp
+++ b/include/caperpath/config/keys.hpp
@@ -10,36 +10,37 @@
 namespace caperpath::config
 {
 
-/// Random bytes that a new key needs; the caller draws them.
+/// Number of random bytes in a new key; the caller generates them.
 inline constexpr std::size_t secret_bytes = 32;
 inline constexpr std::size_t salt_bytes = 16;
 
-/// Longest key that is looked at; bounds the work of one look-up.
+/// Longest key that is checked; bounds the work of one look-up.
 inline constexpr std::size_t max_key_length = 256;
 
-/// Lower-case hexadecimal of `bytes`. Thread safe.
+/// Returns `bytes` in lower-case hexadecimal. Thread safe.
 std::string to_hex(std::string_view bytes);
 
-/// The key that a customer is given: "cp_<customer>_<secret in hexadecimal>".
-/// The customer's name is public; it tells a router which salts to try, so that
-/// a look-up costs one customer's hashes and not 1,400. Thread safe.
+/// Returns a new customer key: "cp_<customer>_<secret in hexadecimal>". The
+/// customer's name in the key is public; it tells a router which salts to try,
+/// so that a look-up costs the hashes of one customer and not of 1,400. Thread
+/// safe.
 /// @pre `is_name(owner.value)` and `secret` has at least 32 random bytes.
 std::string make_key(customer_id const& owner, std::string_view secret);
 
-/// The customer that a key names, whether or not the key is right. Nothing if
-/// the text has not the form of a key. Thread safe.
+/// Returns the customer that a key names, without checking the key. Returns
+/// nothing if the text does not have the form of a key. Thread safe.
 std::optional<customer_id> owner_of(std::string_view key);
 
-/// Salted SHA-256 of a key. One round is enough: the secret has 256 random bits
-/// and cannot be found by trying. Thread safe. @pre `salt` has 16 random bytes.
+/// Returns the salted SHA-256 of a key. One round is enough: the secret has 256
+/// random bits and cannot be found by brute force. Thread safe. @pre `salt` has
+/// 16 random bytes.
 key_hash hash_key(std::string_view key, std::string_view salt);
 
-/// True when `key` gives `hash`. Takes the same time wherever the two differ.
-/// Thread safe.
+/// True if `key` has the hash `hash`. Runs in constant time. Thread safe.
 bool matches(key_hash const& hash, std::string_view key);
 
-/// The customer whose key this is, or nothing. A key of an unknown customer
-/// costs as many hashes as a wrong key of a known one. Thread safe.
+/// Returns the customer whose key this is, or nothing. A key of an unknown
+/// customer costs as many hashes as a wrong key of a known one. Thread safe.
 std::optional<customer_id> find_customer(document const& source,
                                          std::string_view key);
 
--- a/include/caperpath/config/patch.hpp
+++ b/include/caperpath/config/patch.hpp
@@ -11,8 +11,8 @@
 namespace caperpath::config
 {
 
-/// One difference between two documents. `before` or `after` is JSON text and
-/// empty where the member did not exist. Immutable value.
+/// One difference between two documents. `before` or `after` is JSON text, and
+/// is empty if the member did not exist. Immutable value.
 struct change
 {
     std::string path;
@@ -23,22 +23,22 @@
 };
 
 /// Applies a JSON Patch (an array, RFC 6902) or a merge patch (an object, RFC
-/// 7396). Adds a fault for each operation that does not fit; the value is then
-/// not usable. Thread safe.
+/// 7396). Adds a fault for each operation that cannot be applied; the returned
+/// value is then unusable. Thread safe.
 nlohmann::json apply_patch(nlohmann::json const& base,
                            nlohmann::json const& patch,
                            std::vector<fault>& faults);
 
-/// The paths that a patch writes, tests or reads from. Thread safe.
+/// Returns the paths that a patch writes, tests or reads from. Thread safe.
 std::vector<std::string> touched_paths(nlohmann::json const& patch);
 
-/// What has to change in `before` to give `after`, in the order of the paths;
+/// Returns the changes that turn `before` into `after`, ordered by path;
 /// "/version" is left out. Thread safe.
 std::vector<change> changes_between(nlohmann::json const& before,
                                     nlohmann::json const& after);
 
-/// True when a path of one list is, holds, or lies inside a path of the other.
-/// Thread safe.
+/// True if a path of one list equals, contains or lies inside a path of the
+/// other. Thread safe.
 bool overlap(std::vector<std::string> const& paths,
              std::vector<change> const& changes);
 
--- a/include/caperpath/config/port.hpp
+++ b/include/caperpath/config/port.hpp
@@ -9,14 +9,14 @@
 namespace caperpath::config
 {
 
-/// What the request filters know of the configuration. A struct of functions:
-/// the controller makes one, tests make one over a plain document.
+/// Access to the configuration for the request filters. A struct of functions:
+/// the controller creates one, and tests create one over a plain document.
 struct port
 {
-    /// The version in force, or null while this router cannot tell that what it
-    /// holds isn't older than a version already in force elsewhere. Call it
-    /// once a request and keep the pointer to the request's end. Never blocks
-    /// on the network; thread safe.
+    /// Returns the version in force, or null while this router cannot exclude
+    /// that a newer version is already in force elsewhere. Call it once per
+    /// request and keep the pointer until the request ends. Never blocks on the
+    /// network; thread safe.
     std::function<std::shared_ptr<document const>()> current;
 };
 
--- a/include/caperpath/config/store.hpp
+++ b/include/caperpath/config/store.hpp
@@ -16,19 +16,19 @@
 namespace caperpath::config
 {
 
-/// Which version is in force and where its content is: the row
-/// `config/current`. Immutable value.
+/// The row `config/current`: the version in force and the object with its
+/// content. Immutable value.
 struct version_pointer
 {
     std::uint64_t version{};
     std::string object;          ///< "config/<version>-<SHA-256 of the text>"
-    std::uint64_t row_version{}; ///< of `config/current`; 0: none yet
+    std::uint64_t row_version{}; ///< of `config/current`; 0: no such row yet
 
     friend bool operator==(version_pointer const&,
                            version_pointer const&) = default;
 };
 
-/// One line of the history: the row `config/version/<version>`, written once.
+/// The row `config/version/<version>`: one entry of the history, written once.
 /// Immutable value.
 struct version_record
 {
@@ -43,12 +43,13 @@
                            version_record const&) = default;
 };
 
-/// A change that an operator wants. Immutable value.
+/// A change requested by an operator. Immutable value.
 struct patch_request
 {
-    std::uint64_t base_version{}; ///< what the operator has seen; 0: nothing
-    nlohmann::json patch;         ///< array: JSON Patch; object: merge patch
-    std::string id;               ///< the operator's; a repeat carries the same
+    std::uint64_t
+        base_version{};   ///< version that the operator has read; 0: none
+    nlohmann::json patch; ///< array: JSON Patch; object: merge patch
+    std::string id;       ///< chosen by the operator; a retry has the same id
     std::string author;
     instant at; ///< wall time
 };
@@ -56,35 +57,35 @@
 enum class patch_status
 {
     accepted,    ///< in force as `version`
-    conflict,    ///< another version than the base is in force
-    invalid,     ///< `faults` says why; a repeat fails the same way
-    unavailable, ///< nothing took effect; a repeat may succeed
-    unknown      ///< it may have taken effect; a repeat with the same id tells
+    conflict,    ///< a version other than the base is in force
+    invalid,     ///< `faults` says why; a retry fails the same way
+    unavailable, ///< nothing took effect; a retry may succeed
+    unknown      ///< may have taken effect; a retry with the same id finds out
 };
 
-/// What became of a patch. Immutable value.
+/// The result of submitting a patch. Immutable value.
 struct patch_result
 {
     patch_status status{patch_status::unavailable};
-    std::uint64_t version{};     ///< the new one, or the one in force
+    std::uint64_t version{};     ///< the new version, or the version in force
     bool repeated{};             ///< accepted earlier under the same id
-    bool same_paths{};           ///< conflict: the patch touches what changed
-    std::vector<change> changed; ///< conflict: since the base
+    bool same_paths{};           ///< conflict: the patch touches changed paths
+    std::vector<change> changed; ///< conflict: changes since the base
     std::vector<fault> faults;
-    error problem; ///< step and peer when unavailable or unknown
+    error problem; ///< step and peer if unavailable or unknown
 
     friend bool operator==(patch_result const&, patch_result const&) = default;
 };
 
-/// One read of the table. `version` 0 when there is no configuration yet.
-/// Blocks; thread safe.
+/// Reads the row `config/current` in one read of the table. `version` is 0 if
+/// there is no configuration yet. Blocks; thread safe.
 result<version_pointer> read_current(store::port const& port);
 
-/// The row by which an operator orders one life of a router to stop serving.
-/// Thread safe.
+/// Returns the key of the row by which an operator commands one incarnation of
+/// a router to drain. Thread safe.
 std::string drain_key(incarnation_id const& router);
 
-/// What a router asks the store in each poll. Immutable value.
+/// The result of one poll of the store by a router. Immutable value.
 struct poll_answer
 {
     version_pointer current;
@@ -93,60 +94,63 @@
     friend bool operator==(poll_answer const&, poll_answer const&) = default;
 };
 
-/// Both in one read of the table, so that drains cost no read of their own.
-/// Blocks; thread safe.
+/// Reads the current version and the drain row in one read of the table, so
+/// that drain commands cost no extra read. Blocks; thread safe.
 result<poll_answer> read_poll(store::port const& port,
                               incarnation_id const& router);
 
-/// Orders a drain; it is never taken back, since a replaced router has another
-/// incarnation. A repeat is harmless. Blocks; thread safe.
+/// Commands a router to drain. A drain is never revoked, since a replaced
+/// router has another incarnation; a retry is harmless. Blocks; thread safe.
 store::commit_result order_drain(store::port const& port,
                                  incarnation_id const& router,
                                  std::string const& author, instant at);
 
-/// The document a pointer names; checks its text against the hash in the name.
-/// Blocks; thread safe.
+/// Loads the object that a pointer names and checks its text against the hash
+/// in its name. Blocks; thread safe.
 result<document> load_object(store::port const& port,
                              std::string const& object);
 
-/// The document of a text that is said to be the object; checked against the
-/// hash in the name. Thread safe.
+/// Parses `text` as the content of `object` and checks it against the hash in
+/// the name. Thread safe.
 result<document> read_object(std::string const& object,
                              std::string const& text);
 
-/// The version in force; `not_found` when there is none. Blocks; thread safe.
+/// Loads the version in force; fails with `not_found` if there is none. Blocks;
+/// thread safe.
 result<document> load_current(store::port const& port);
 
-/// Any version ever accepted. Blocks; thread safe.
+/// Loads any version that was ever accepted. Blocks; thread safe.
 result<document> load_version(store::port const& port, std::uint64_t version);
 
-/// Versions greater than `after`, in order, at most `limit`. Blocks; thread
-/// safe.
+/// Returns the versions greater than `after` in ascending order, at most
+/// `limit`. Blocks; thread safe.
 result<std::vector<version_record>>
 list_versions(store::port const& port, std::uint64_t after, std::size_t limit);
 
-/// Numbers the patched base as the next version if the base is in force. The
-/// whole document is checked before anything is written. Two patches never get
-/// the same number, and a repeat of an accepted id returns the first result.
+/// Makes the patched base the next version if the base is in force. Checks the
+/// whole document before it writes anything. Two patches never get the same
+/// version number, and a retry of an accepted id returns the first result.
 /// Blocks; thread safe.
 patch_result submit_patch(store::port const& port,
                           patch_request const& request);
 
-/// As `submit_patch`, with the content of `older` as the next version.
+/// As `submit_patch`, but the next version gets the content of `older`.
 patch_result roll_forward(store::port const& port, patch_request const& request,
                           std::uint64_t older);
 
 /// Names an existing version so that an experiment can be replayed. A name is
-/// never moved: `invalid` when it names another version. Blocks; thread safe.
+/// never moved: the result is `invalid` if it already names another version.
+/// Blocks; thread safe.
 patch_result name_version(store::port const& port, std::uint64_t version,
                           std::string const& name);
 
-/// The version a name stands for. Blocks; thread safe.
+/// Returns the version that has a name. Blocks; thread safe.
 result<std::uint64_t> find_version(store::port const& port,
                                    std::string const& name);
 
-/// The object that holds `text` as `version`. Two operators who race for one
-/// number write two objects, so neither overwrites the other's. Thread safe.
+/// Returns the name of the object that holds `text` as `version`. The name
+/// contains a hash of the text, so two operators who race for one version
+/// number never overwrite each other's object. Thread safe.
 std::string object_name(std::uint64_t version, std::string const& text);
 
 } // namespace caperpath::config
--- a/include/caperpath/store/async_port.hpp
+++ b/include/caperpath/store/async_port.hpp
@@ -11,20 +11,21 @@
 #include <variant>
 #include <vector>
 
-/// The store as a program on one event loop uses it: no call blocks, and each
-/// gives its result to a callback, later and on the loop's thread.
+/// Asynchronous access to the store for a program with one event loop: no call
+/// blocks, and each passes its result to a callback later, on the loop's
+/// thread.
 namespace caperpath::store
 {
 
-/// The table in which our rows of a kind stand; the kind is the text before the
-/// first "/" of their keys. Apart, so that a router which follows one kind does
-/// not read all others. Thread safe.
+/// Returns the table that holds caperpath's rows of a kind, where the kind is
+/// the text before the first "/" of their keys. Each kind has its own table so
+/// that a router which follows one kind does not read all others. Thread safe.
 inline std::string own_table(std::string const& kind)
 {
     return "caperpath-" + kind;
 }
 
-/// One row of a table as it is now or as it changed.
+/// One row of a table, current or as it changed.
 struct feed_row
 {
     std::string key;
@@ -35,22 +36,22 @@
     friend bool operator==(feed_row const&, feed_row const&) = default;
 };
 
-/// What it took to read an answer; for logs.
+/// The cost of reading a response; for logs.
 struct read_cost
 {
     std::int64_t bytes{};
-    duration answered{}; ///< from the call to the first byte of the answer
+    duration answered{}; ///< from the call to the first byte of the response
     duration took{};     ///< from the call to its last byte
 
     friend bool operator==(read_cost const&, read_cost const&) = default;
 };
 
-/// Rows of a table up to `version`.
+/// The rows of a table up to `version`.
 struct feed_page
 {
     std::vector<feed_row> rows;
     std::uint64_t version{};
-    read_cost cost{}; ///< of the last call that it was read in
+    read_cost cost{}; ///< of the last call that read the page
 
     friend bool operator==(feed_page const&, feed_page const&) = default;
 };
@@ -58,32 +59,35 @@
 template <class Value>
 using reply = std::function<void(std::variant<Value, error>)>;
 
-/// Calls that no answer came to in time end with `timeout`; a write then is
-/// `unknown`. A struct of functions; to be used on the loop's thread only.
+/// A call without a response within its timeout ends with `timeout`; a write is
+/// then `unknown`. A struct of functions; use it on the loop's thread only.
 struct async_port
 {
     std::function<void(transaction const&, std::function<void(commit_result)>)>
         commit;
 
-    /// The row `key`, or one with version 0 if there is none.
+    /// Reads the row `key`; gives a row with version 0 if there is none.
     std::function<void(std::string const& key, reply<row>)> read;
 
-    /// Our rows from key `first` to before key `last`, however many.
+    /// Reads all of caperpath's rows from key `first` up to, but not including,
+    /// key `last`.
     /// @pre both keys name the same partition.
     std::function<void(std::string const& first, std::string const& last,
                        reply<std::vector<row>>)>
         scan;
 
-    /// All rows of a table that others write; of an own table only the version
-    /// to follow from, since its rows stand in many partitions. Each answer
-    /// must begin within `answer_within`.
+    /// Reads all rows of a table that other programs write. For a table of
+    /// caperpath's own it gives only the version to follow from, since its rows
+    /// are spread over many partitions. Each response must begin within
+    /// `answer_within`.
     std::function<void(std::string const& table, duration answer_within,
                        reply<feed_page>)>
         list;
 
-    /// The changes after `since`, as soon as there is one or after `wait`
-    /// without any; the answer must begin `answer_within` after that. Error
-    /// `not_found` when that part of the history is gone: list anew.
+    /// Reads the changes after `since`, as soon as there is one, or none after
+    /// `wait`; the response must begin within `answer_within` after that. Fails
+    /// with `not_found` if that part of the history no longer exists: call
+    /// `list` again.
     std::function<void(std::string const& table, std::uint64_t since,
                        duration wait, duration answer_within, reply<feed_page>)>
         follow;
--- a/include/caperpath/store/http_port.hpp
+++ b/include/caperpath/store/http_port.hpp
@@ -10,7 +10,7 @@
 namespace caperpath::store
 {
 
-/// How to reach the platform. Immutable value.
+/// How to connect to the platform. Immutable value.
 struct http_port_options
 {
     std::string address; ///< "IP:port" with a numeric IPv4 address
@@ -18,20 +18,21 @@
     duration read_timeout{5'000}; ///< bounds a whole exchange once connected
     std::size_t max_idle_connections{8};
     /// A connection that was idle for longer is closed instead of used: the
-    /// platform may be about to close it, or something on the way may have
-    /// forgotten it.
+    /// platform may be about to close it, or a device on the path may have
+    /// dropped its state.
     duration max_idle{2'000};
 
     friend bool operator==(http_port_options const&,
                            http_port_options const&) = default;
 };
 
-/// A port that talks HTTP to the platform (see wire.hpp). Its functions are
-/// thread safe and may outlive each other; concurrent calls use a connection
-/// each. A call is sent at most once and never repeated: a write that could not
-/// be connected, or that the platform itself answered as without effect, is
-/// `refused`; one that may have arrived and got no whole answer is `unknown`.
-/// Ignores SIGPIPE for the whole process. @pre `is_address(options.address)`.
+/// Returns a port that uses HTTP to the platform (see wire.hpp). Its functions
+/// are thread safe and may outlive each other; each concurrent call uses its
+/// own connection. A call is sent at most once and never retried. A write is
+/// `refused` if no connection was made or if the platform itself responded that
+/// it had no effect; it is `unknown` if it may have arrived and no complete
+/// response came. Ignores SIGPIPE for the whole process. @pre
+/// `is_address(options.address)`.
 port make_http_port(http_port_options const& options);
 
 } // namespace caperpath::store
--- a/include/caperpath/store/memory_table.hpp
+++ b/include/caperpath/store/memory_table.hpp
@@ -11,17 +11,17 @@
 namespace caperpath::store
 {
 
-/// What goes wrong with one call to a `memory_table`.
+/// The fault injected into one call to a `memory_table`.
 enum class injected_fault
 {
     none,
-    outage,     ///< nothing takes effect, the caller learns that it failed
-    lost_call,  ///< nothing takes effect, the caller learns nothing
-    lost_answer ///< takes effect, the caller learns nothing
+    outage,     ///< no effect; the caller is told that the call failed
+    lost_call,  ///< no effect; the caller gets no response
+    lost_answer ///< takes effect; the caller gets no response
 };
 
-/// A table, object store and VM list held in memory: the platform's stand-in
-/// serves one over HTTP, and tests drive one directly. Thread safe.
+/// A table, object store and VM list held in memory. The platform emulator
+/// serves one over HTTP, and tests use one directly. Thread safe.
 class memory_table
 {
 public:
@@ -29,7 +29,7 @@
     std::vector<row> read(std::vector<std::string> const& keys) const;
     std::vector<row> scan(std::string const& prefix, std::string const& after,
                           std::size_t limit) const;
-    /// Refused when the object exists with another content.
+    /// Rejected if the object exists with different content.
     commit_result put_object(std::string const& name,
                              std::string const& content);
     std::optional<std::string> get_object(std::string const& name) const;
@@ -44,8 +44,8 @@
     std::vector<listed_vm> vms;
 };
 
-/// A port over `table`. `next_fault`, when given, is asked before each call
-/// and decides what goes wrong with it. @pre `table` is not null.
+/// Returns a port over `table`. `next_fault`, if given, is called before each
+/// call and selects the fault to inject. @pre `table` is not null.
 port make_memory_port(
     std::shared_ptr<memory_table> table,
     std::function<injected_fault(std::string const& step)> const& next_fault =
--- a/include/caperpath/store/table.hpp
+++ b/include/caperpath/store/table.hpp
@@ -12,8 +12,8 @@
 namespace caperpath::store
 {
 
-/// A row of the platform's table. `version` grows by one with each write and
-/// starts at 1; 0 stands for a row that does not exist. Immutable value.
+/// A row of the platform's table. `version` starts at 1 and grows by one with
+/// each write; 0 means that the row does not exist. Immutable value.
 struct row
 {
     std::string key;
@@ -23,7 +23,7 @@
     friend bool operator==(row const&, row const&) = default;
 };
 
-/// Holds when the row `key` has exactly `version` (0: does not exist).
+/// Holds if the row `key` has exactly `version` (0: does not exist).
 struct condition
 {
     std::string key;
@@ -32,7 +32,7 @@
     friend bool operator==(condition const&, condition const&) = default;
 };
 
-/// Sets the row's value, or deletes it when there is none.
+/// Sets the row's value, or deletes the row if there is no value.
 struct row_write
 {
     std::string key;
@@ -53,40 +53,39 @@
 enum class commit_outcome
 {
     applied, ///< took effect
-    refused, ///< a condition did not hold, or turned away; nothing took effect
-    unknown  ///< no answer came back: it may or may not have taken effect
+    refused, ///< a condition failed, or the write was rejected; no effect
+    unknown  ///< no response: it may or may not have taken effect
 };
 
-/// `failed` names the rows whose condition did not hold, as they are now; it is
-/// empty when the platform turned the write away for another reason (its rate
-/// limit, an outage that it reports itself).
+/// `failed` holds the current state of the rows whose condition did not hold;
+/// it is empty if the platform rejected the write for another reason (its rate
+/// limit, or an outage that it reports itself).
 struct commit_result
 {
     commit_outcome outcome{commit_outcome::unknown};
     std::vector<row> failed;
-    error fault; ///< step and peer when not applied
-    /// The version that all written rows have now, from a store that numbers
-    /// its transactions; 0 from one that numbers the writes of each row.
+    error fault; ///< step and peer if not applied
+    /// The new version of all written rows, from a store that numbers its
+    /// transactions; 0 from a store that numbers the writes of each row.
     std::uint64_t version{};
-    /// When the store applied it, on the store's own clock; 0 if it does not
-    /// say.
+    /// When the store applied the commit, on the store's own clock; 0 if the
+    /// store does not report it.
     std::int64_t store_ms{};
 
     friend bool operator==(commit_result const&,
                            commit_result const&) = default;
 };
 
-/// The version of a row that had `before` and was written by an applied commit.
-/// Thread safe.
+/// Returns the new version of a row that had version `before` and was written
+/// by an applied commit. Thread safe.
 inline std::uint64_t written_version(commit_result const& applied,
                                      std::uint64_t before)
 {
     return applied.version != 0 ? applied.version : before + 1;
 }
 
-/// A VM as the platform lists it; the list may lag by seconds. A VM that is
-/// absent has been destroyed: the platform never lists one as gone that could
-/// still run.
+/// A VM in the platform's list, which may lag by seconds. An absent VM has been
+/// destroyed: the platform never omits a VM that could still run.
 struct listed_vm
 {
     std::string vm;
@@ -98,26 +97,27 @@
     friend bool operator==(listed_vm const&, listed_vm const&) = default;
 };
 
-/// The narrow interface to everything the platform keeps for us. A struct of
-/// functions: one maker talks HTTP to the platform, tests make one over a map.
-/// Each call blocks; each may be called from any thread.
+/// The interface to everything that the platform stores for caperpath. A struct
+/// of functions: `make_http_port` uses HTTP to the platform, `make_memory_port`
+/// a table in memory. Each call blocks and may be made from any thread.
 struct port
 {
-    /// Never throws and never says `refused` when the write took effect.
+    /// Never throws, and never returns `refused` if the write took effect.
     std::function<commit_result(transaction const&)> commit;
 
-    /// The rows that exist among `keys`, in no given order. One read whatever
-    /// the number of keys (at most 100).
+    /// Returns the rows that exist among `keys`, in no particular order. Counts
+    /// as one read for any number of keys (at most 100).
     std::function<result<std::vector<row>>(std::vector<std::string> const&)>
         read;
 
-    /// Rows whose key starts with `prefix` and is greater than `after`, in key
-    /// order, at most `limit`.
+    /// Returns rows whose key starts with `prefix` and is greater than `after`,
+    /// in key order, at most `limit`.
     std::function<result<std::vector<row>>(
         std::string const& prefix, std::string const& after, std::size_t limit)>
         scan;
 
-    /// Objects are written once and never changed; a repeat is harmless.
+    /// Writes an object. Objects are written once and never changed; a retry is
+    /// harmless.
     std::function<commit_result(std::string const& name,
                                 std::string const& content)>
         put_object;
--- a/include/caperpath/store/wire.hpp
+++ b/include/caperpath/store/wire.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-/// The JSON that the platform's client and its stand-in exchange over HTTP:
+/// The JSON that the platform's client and its emulator exchange over HTTP:
 ///
 ///     POST /table/commit   transaction    -> applied | refusal
 ///     POST /table/read     keys           -> rows
@@ -17,9 +17,9 @@
 ///     GET  /objects/NAME                  -> raw content
 ///     GET  /vms                           -> listed VMs
 ///
-/// All functions are pure and thread safe. Encoding what a caller wrote fails
-/// as `invalid` when a text is not UTF-8; decoding fails as `invalid` with the
-/// path of the first fault.
+/// All functions are pure and thread safe. Encoding of caller data fails with
+/// `invalid` if a text is not UTF-8; decoding fails with `invalid` and the path
+/// of the first fault.
 namespace caperpath::store::wire
 {
 
@@ -29,13 +29,13 @@
 constexpr char objects_path[] = "/objects/";
 constexpr char vms_path[] = "/vms";
 
-/// The most keys that one read may ask for.
+/// Most keys of one read.
 constexpr std::size_t max_read_keys = 100;
 
-/// The most rows that one scan may ask for.
+/// Most rows of one scan.
 constexpr std::size_t max_scan_rows = 10'000;
 
-/// What `port::scan` takes. Immutable value.
+/// The arguments of `port::scan`. Immutable value.
 struct scan_request
 {
     std::string prefix;
@@ -45,7 +45,7 @@
     friend bool operator==(scan_request const&, scan_request const&) = default;
 };
 
-/// The platform's word that a call had no effect. Immutable value.
+/// The platform's statement that a call had no effect. Immutable value.
 struct refusal
 {
     error_kind kind{error_kind::refused};
@@ -69,20 +69,20 @@
 
 std::string encode_applied();
 
-/// True only for what `encode_applied` gives.
+/// True only for the text that `encode_applied` returns.
 bool is_applied(std::string const& body);
 
 std::string encode(refusal const& why);
 
-/// Fails for any body that does not itself say that nothing took effect.
+/// Fails unless the body itself states that nothing took effect.
 result<refusal> decode_refusal(std::string const& body);
 
 std::string encode_vms(std::vector<listed_vm> const& vms);
 result<std::vector<listed_vm>> decode_vms(std::string const& body);
 result<listed_vm> decode_vm(std::string const& body);
 
-/// The path of an object, with every byte of the name but letters, digits,
-/// "-._~" and "/" percent-encoded.
+/// Returns the path of an object: percent-encodes every byte of the name except
+/// letters, digits, "-._~" and "/".
 std::string object_path(std::string const& name);
 
 } // namespace caperpath::store::wire
--- a/src/config/document_checks.hpp
+++ b/src/config/document_checks.hpp
@@ -9,8 +9,8 @@
 namespace caperpath::config
 {
 
-/// Adds a fault for each reference to something that is not in `source`, and
-/// for each key or address that two entries share. Thread safe.
+/// Adds a fault for each reference to something that `source` does not contain,
+/// and for each key or address that two entries share. Thread safe.
 void check_references(document const& source, std::vector<fault>& faults);
 
 } // namespace caperpath::config
--- a/src/config/document_json.cpp
+++ b/src/config/document_json.cpp
@@ -73,7 +73,7 @@
     return made;
 }
 
-// One open object or array of the text being parsed.
+// An open object or array of the text being parsed.
 struct open_value
 {
     bool is_array{};
@@ -82,10 +82,10 @@
     std::set<std::string> seen;
 };
 
-// Follows the parser's events and finds keys that stand twice in one object. It
-// keeps no values: nlohmann's own callback, which builds the document too,
-// looks through all earlier members at the end of each one, and its time grows
-// with the square of the budgets.
+// Finds duplicate keys in an object from the parser's events. It keeps no
+// values: nlohmann's own callback also builds the document and scans all
+// earlier members at the end of each member, which takes quadratic time in the
+// number of budgets.
 class duplicate_finder : public nlohmann::json_sax<json>
 {
 public:
@@ -154,7 +154,7 @@
         return true;
     }
 
-    // Syntax is the other pass's to report.
+    // The parsing pass reports syntax errors.
     bool parse_error(std::size_t, std::string const&,
                      nlohmann::detail::exception const&) override
     {
--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -20,7 +20,7 @@
     return digit >= 'a' ? digit - 'a' + 10 : digit - '0';
 }
 
-// @pre `text` was checked to be hexadecimal when the document was read.
+// @pre `text` is hexadecimal; reading the document has checked that.
 std::string from_hex(std::string_view text)
 {
     std::string bytes;
@@ -75,9 +75,9 @@
 bool matches(key_hash const& hash, std::string_view key)
 {
     auto const tried = hash_key(key, from_hex(hash.salt));
-    // A comparison that stops at the first difference answers sooner the
-    // sooner the two differ; who times enough answers learns the hash byte by
-    // byte. This one always reads both to the end.
+    // A comparison that stops at the first difference would reveal the hash
+    // byte by byte through its response times. This one always compares all
+    // bytes.
     return tried.sha256.size() == hash.sha256.size() &&
            CRYPTO_memcmp(tried.sha256.data(), hash.sha256.data(),
                          hash.sha256.size()) == 0;
@@ -86,14 +86,16 @@
 std::optional<customer_id> find_customer(document const& source,
                                          std::string_view key)
 {
-    // Answering sooner for a name that does not exist would let anybody list
-    // the customers by timing; a hash that nothing matches takes its place.
-    static customer const nobody{{{std::string(salt_bytes * 2, '0'),
-                                   std::string(sha256_bytes * 2, 'x')}},
-                                 {},
-                                 0,
-                                 0,
-                                 0};
+    // A faster response for an unknown name would let a caller list the
+    // customers by timing, so an unknown name is checked against a hash that
+    // nothing matches.
+    static customer const unknown_customer{
+        {{std::string(salt_bytes * 2, '0'),
+          std::string(sha256_bytes * 2, 'x')}},
+        {},
+        0,
+        0,
+        0};
     auto const owner = owner_of(key);
     if (!owner)
     {
@@ -102,7 +104,7 @@
     auto const entry = source.customers.find(*owner);
     auto const known = entry != source.customers.end();
     bool found = false;
-    for (auto const& hash : (known ? entry->second : nobody).keys)
+    for (auto const& hash : (known ? entry->second : unknown_customer).keys)
     {
         found = matches(hash, key) || found;
     }
--- a/src/config/patch.cpp
+++ b/src/config/patch.cpp
@@ -18,9 +18,9 @@
                : std::string{};
 }
 
-// The library asserts that the parent of a path is an object or an array: with
-// assertions on, one operator's typing error would end the program; with them
-// off the operation would silently do nothing.
+// The library asserts that the parent of a path is an object or an array. With
+// assertions, a mistyped path would end the program; without them the operation
+// would silently do nothing.
 void check_parent(json const& base, json const& operation)
 {
     auto const path = json::json_pointer{member_text(operation, "path")};
@@ -103,7 +103,7 @@
     }
 }
 
-bool holds(std::string const& outer, std::string const& inner)
+bool contains_path(std::string const& outer, std::string const& inner)
 {
     return inner.starts_with(outer) &&
            (inner.size() == outer.size() || inner[outer.size()] == '/');
@@ -166,12 +166,12 @@
     return std::any_of(paths.begin(), paths.end(),
                        [&](std::string const& path)
                        {
-                           return std::any_of(changes.begin(), changes.end(),
-                                              [&](change const& one) {
-                                                  return holds(path,
-                                                               one.path) ||
-                                                         holds(one.path, path);
-                                              });
+                           return std::any_of(
+                               changes.begin(), changes.end(),
+                               [&](change const& one) {
+                                   return contains_path(path, one.path) ||
+                                          contains_path(one.path, path);
+                               });
                        });
 }
 
--- a/src/config/sha256.hpp
+++ b/src/config/sha256.hpp
@@ -6,7 +6,7 @@
 namespace caperpath::config
 {
 
-/// The 32 bytes of the SHA-256 of `bytes`. Thread safe.
+/// Returns the SHA-256 of `bytes` as 32 raw bytes. Thread safe.
 std::string sha256(std::string const& bytes);
 
 } // namespace caperpath::config
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -61,12 +61,12 @@
 
 result<version_pointer> read_current(store::port const& port)
 {
-    auto const answer = value_or_error([&] { return read_poll(port, {}); });
-    if (auto const* problem = std::get_if<error>(&answer))
+    auto const response = value_or_error([&] { return read_poll(port, {}); });
+    if (auto const* problem = std::get_if<error>(&response))
     {
         return fail(*problem);
     }
-    return std::get<poll_answer>(answer).current;
+    return std::get<poll_answer>(response).current;
 }
 
 store::commit_result order_drain(store::port const& port,
@@ -86,9 +86,9 @@
 
 result<document> read_object(std::string const& object, std::string const& text)
 {
-    // A text cut short on the way may still be whole JSON of another meaning,
-    // for example without its last customers, who would be turned away. The
-    // hash in the name shows it.
+    // A truncated text may still be valid JSON with another meaning, for
+    // example without its last customers, who would be rejected. The hash in
+    // the name detects this.
     if (!object.ends_with("-" + to_hex(sha256(text))))
     {
         return fail({error_kind::unavailable, "load configuration",
@@ -108,12 +108,12 @@
 
 result<document> load_current(store::port const& port)
 {
-    auto const answer = value_or_error([&] { return read_current(port); });
-    if (auto const* problem = std::get_if<error>(&answer))
+    auto const response = value_or_error([&] { return read_current(port); });
+    if (auto const* problem = std::get_if<error>(&response))
     {
         return fail(*problem);
     }
-    auto const& pointer = std::get<version_pointer>(answer);
+    auto const& pointer = std::get<version_pointer>(response);
     if (pointer.version == 0)
     {
         return fail({error_kind::not_found, "load configuration", "table",
@@ -189,14 +189,15 @@
     }
     auto const record_key = version_key(version);
     // Version records are written once, so the row's version is always 1.
-    auto const answer = port.commit({{{record_key, 1}, {name_key(name), 0}},
-                                     {{name_key(name), write_named(version)}}});
-    if (answer.outcome == store::commit_outcome::applied)
+    auto const response =
+        port.commit({{{record_key, 1}, {name_key(name), 0}},
+                     {{name_key(name), write_named(version)}}});
+    if (response.outcome == store::commit_outcome::applied)
     {
         outcome.status = patch_status::accepted;
         return outcome;
     }
-    outcome.problem = answer.fault;
+    outcome.problem = response.fault;
     auto const found = value_or_error([&] { return find_version(port, name); });
     if (auto const* owner = std::get_if<0>(&found))
     {
@@ -211,12 +212,12 @@
         }
         return outcome;
     }
-    if (answer.outcome == store::commit_outcome::unknown)
+    if (response.outcome == store::commit_outcome::unknown)
     {
         outcome.status = patch_status::unknown;
         return outcome;
     }
-    if (find_row(answer.failed, record_key) != nullptr)
+    if (find_row(response.failed, record_key) != nullptr)
     {
         outcome.status = patch_status::invalid;
         outcome.faults.push_back({"/version", no_version(version).detail});
--- a/src/config/store_rows.cpp
+++ b/src/config/store_rows.cpp
@@ -16,8 +16,8 @@
 constexpr int version_digits = 12;
 constexpr int read_attempts = 3;
 
-// Runs `read` over the row's JSON; nothing when a member is missing or of
-// another type, so that a foreign value in a row never ends a router.
+// Returns `read` of the row's JSON, or nothing if a member is missing or has
+// another type, so that a malformed row never ends a router.
 template <class Read>
 auto read_value(store::row const& source, Read read)
     -> std::optional<decltype(read(json{}))>
@@ -128,12 +128,12 @@
     error last;
     for (int attempt = 0; attempt < read_attempts; ++attempt)
     {
-        auto const answer = value_or_error([&] { return port.read(keys); });
-        if (auto const* rows = std::get_if<0>(&answer))
+        auto const response = value_or_error([&] { return port.read(keys); });
+        if (auto const* rows = std::get_if<0>(&response))
         {
             return *rows;
         }
-        last = std::get<error>(answer);
+        last = std::get<error>(response);
     }
     return fail(last);
 }
--- a/src/config/submit.cpp
+++ b/src/config/submit.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t max_author_length = 128;
 
-// What the table says of the base and of the patch's id.
+// What the table holds on the current version and on the patch's id.
 struct table_view
 {
     version_pointer current;
@@ -31,15 +31,15 @@
 view_or_result read_view(store::port const& port, patch_request const& request)
 {
     auto const key = patch_key(request.id);
-    auto const answer = value_or_error(
+    auto const response = value_or_error(
         [&] {
             return read_rows(port, {current_key, key});
         });
-    if (auto const* problem = std::get_if<error>(&answer))
+    if (auto const* problem = std::get_if<error>(&response))
     {
         return unavailable(*problem);
     }
-    auto const& rows = std::get<0>(answer);
+    auto const& rows = std::get<0>(response);
     table_view view;
     if (auto const* row = find_row(rows, current_key))
     {
@@ -103,8 +103,8 @@
     if (faults.empty() && value.is_object())
     {
         value["version"] = base.version + 1;
-        // A name stands for one version; a version patched from a named one
-        // is another.
+        // A name belongs to one version, so a version patched from a named one
+        // does not inherit the name.
         if (!touches(request, "/name"))
         {
             value["name"] = "";
@@ -130,16 +130,16 @@
 std::optional<error> put_content(store::port const& port,
                                  prepared_version const& next)
 {
-    store::commit_result answer;
+    store::commit_result response;
     for (int attempt = 0; attempt < write_attempts; ++attempt)
     {
-        answer = port.put_object(next.object, next.text);
-        if (answer.outcome == store::commit_outcome::applied)
+        response = port.put_object(next.object, next.text);
+        if (response.outcome == store::commit_outcome::applied)
         {
             return std::nullopt;
         }
     }
-    return answer.fault;
+    return response.fault;
 }
 
 } // namespace
@@ -152,9 +152,9 @@
         return invalid(std::move(faults));
     }
     auto const seen = read_view(port, request);
-    if (auto const* stopped = std::get_if<patch_result>(&seen))
+    if (auto const* early_result = std::get_if<patch_result>(&seen))
     {
-        return *stopped;
+        return *early_result;
     }
     auto const& view = std::get<table_view>(seen);
     if (view.earlier)
@@ -172,9 +172,9 @@
         return conflict(port, request, view.current);
     }
     auto const made = prepare(port, request, view.current);
-    if (auto const* stopped = std::get_if<patch_result>(&made))
+    if (auto const* early_result = std::get_if<patch_result>(&made))
     {
-        return *stopped;
+        return *early_result;
     }
     auto const& next = std::get<prepared_version>(made);
     if (auto const problem = put_content(port, next))
--- a/src/config/submit.hpp
+++ b/src/config/submit.hpp
@@ -11,10 +11,11 @@
 namespace caperpath::config
 {
 
-/// How often a write is sent when its answer is lost or it is turned away.
+/// Most attempts of a write whose response is lost or that the platform
+/// rejects.
 inline constexpr int write_attempts = 5;
 
-/// A version that has been checked and only waits for its number.
+/// A version that has been checked but not yet committed.
 struct prepared_version
 {
     version_pointer base;
@@ -29,26 +30,30 @@
     }
 };
 
-/// Tells a repeat from another patch under a used id. The base does not count:
-/// who repeats a command may by then see a newer version.
+/// Returns the digest that distinguishes a retry from another patch with the
+/// same id. It does not cover the base: a repeated command may by then read a
+/// newer version.
 std::string digest_of(patch_request const& request);
 
 patch_result unavailable(error problem);
 patch_result invalid(std::vector<fault> faults);
 
-/// The result of a patch whose id was accepted before.
+/// Returns the result for a patch whose id was accepted before.
 patch_result repeated(patch_request const& request,
                       patch_record const& earlier);
 
-/// The canonical JSON of a version; of an empty document for version 0.
+/// Returns the canonical JSON of a version, or of an empty document for version
+/// 0.
 result<nlohmann::json> load_json(store::port const& port,
                                  std::uint64_t version);
 
-/// `current` is in force and the request has another base.
+/// Returns the conflict result of a request whose base is not `current`, the
+/// version in force.
 patch_result conflict(store::port const& port, patch_request const& request,
                       version_pointer const& current);
 
-/// Writes pointer, record, patch id and name in one transaction.
+/// Writes the pointer, the record, the patch id and the name in one
+/// transaction.
 /// @pre the object of `next` is in the store.
 patch_result commit_version(store::port const& port,
                             patch_request const& request,
--- a/src/config/submit_commit.cpp
+++ b/src/config/submit_commit.cpp
@@ -17,8 +17,8 @@
 
 using store::commit_outcome;
 
-store::transaction numbering(patch_request const& request,
-                             prepared_version const& next)
+store::transaction numbering_transaction(patch_request const& request,
+                                         prepared_version const& next)
 {
     auto const number = next.version();
     version_record const record{number,         next.object,       request.id,
@@ -39,8 +39,8 @@
     return txn;
 }
 
-// Explains a refusal by the rows whose condition did not hold. Nothing when
-// the platform turned the write away for a reason of its own.
+// Derives the result of a rejected commit from the rows whose condition did not
+// hold. Returns nothing if the platform rejected the write for another reason.
 std::optional<patch_result> explain(store::port const& port,
                                     patch_request const& request,
                                     prepared_version const& next,
@@ -68,8 +68,9 @@
     return std::nullopt;
 }
 
-// The record of the number we wanted is written once and never changed: if it
-// carries our id we were first, if it carries another we can never be.
+// The record of a version number is written once and never changed. If it has
+// this request's id, the commit was applied; if it has another id, the commit
+// can never be applied.
 patch_result read_back(store::port const& port, patch_request const& request,
                        prepared_version const& next, error problem)
 {
@@ -77,11 +78,11 @@
     made.status = patch_status::unknown;
     made.version = next.version();
     auto const key = version_key(next.version());
-    auto const answer = value_or_error(
+    auto const response = value_or_error(
         [&] {
             return read_rows(port, {key, current_key});
         });
-    auto const* rows = std::get_if<0>(&answer);
+    auto const* rows = std::get_if<0>(&response);
     auto const* row = rows == nullptr ? nullptr : find_row(*rows, key);
     auto const record = row == nullptr ? std::nullopt : read_record(*row);
     if (!record)
@@ -170,41 +171,41 @@
     return made;
 }
 
-// Sending the same transaction again is harmless: its conditions hold only as
-// long as it has not taken effect. So a lost answer is asked for again until
-// the table says which it was.
+// Retrying the same transaction is harmless: its conditions hold only until it
+// has taken effect. After a lost response it is therefore retried until the
+// table reports the outcome.
 patch_result commit_version(store::port const& port,
                             patch_request const& request,
                             prepared_version const& next)
 {
-    auto const txn = numbering(request, next);
+    auto const txn = numbering_transaction(request, next);
     bool may_have_applied = false;
-    store::commit_result answer;
+    store::commit_result response;
     for (int attempt = 0; attempt < write_attempts; ++attempt)
     {
-        answer = port.commit(txn);
-        if (answer.outcome == commit_outcome::applied)
+        response = port.commit(txn);
+        if (response.outcome == commit_outcome::applied)
         {
             patch_result made;
             made.status = patch_status::accepted;
             made.version = next.version();
             return made;
         }
-        if (answer.outcome == commit_outcome::unknown)
+        if (response.outcome == commit_outcome::unknown)
         {
             may_have_applied = true;
             continue;
         }
-        if (auto explained = explain(port, request, next, answer.failed))
+        if (auto explained = explain(port, request, next, response.failed))
         {
             return *explained;
         }
     }
     if (may_have_applied)
     {
-        return read_back(port, request, next, answer.fault);
+        return read_back(port, request, next, response.fault);
     }
-    return unavailable(answer.fault);
+    return unavailable(response.fault);
 }
 
 } // namespace caperpath::config
--- a/src/config/view.cpp
+++ b/src/config/view.cpp
@@ -25,9 +25,9 @@
 
 view with_store_version(view const& before, std::uint64_t version)
 {
-    // Answers of the store can overtake each other. Taking the later answer
-    // for the newer one would let a router that starts serve a version that
-    // has been replaced, and an operator would see a change revert.
+    // Responses of the store can overtake each other. If the latest response
+    // always won, a starting router could serve a replaced version and an
+    // operator would see a change revert.
     return confirm({before.newest, std::max(before.store_version, version),
                     before.confirmed});
 }
@@ -44,11 +44,11 @@
 
 std::shared_ptr<document const> in_force(view const& source)
 {
-    // A router that has started can only compare with what the store names.
-    // Until it has heard the store once, or while it has not loaded what the
-    // store named then, another router may already serve something newer: a
-    // customer whose key was withdrawn would be let in here again. A router
-    // that has served keeps what it serves while a newer one is loading.
+    // A starting router can only compare with what the store reports. Until the
+    // store has responded once and the reported version is loaded, another
+    // router may already serve a newer one, and this router would admit a
+    // customer whose key was revoked. A router that has served before keeps
+    // serving its version while a newer one is loading.
     return source.confirmed ? source.newest : nullptr;
 }
 
--- a/src/ctl/budget.cpp
+++ b/src/ctl/budget.cpp
@@ -28,7 +28,7 @@
     token_count tokens{};
 };
 
-// A budget as the table has it.
+// A budget and its active shares, as stored in the table.
 struct budget_account
 {
     budget::budget_row row;
@@ -64,7 +64,7 @@
     auto const make = [&](config::document const& document)
     {
         wanted_patch wanted;
-        // With an id this may be a repeat, which the store recognises.
+        // With an id this may be a retry, which the store recognises.
         if (options.id.empty() &&
             document.budgets.contains(budget_id{options.name}))
         {
@@ -175,19 +175,22 @@
     create->add_option("NAME", options->name)->required();
     create->add_option("--policy", options->policy,
                        "overspend_first or false_refusals_first");
-    create->add_option("--id", options->id, "of this patch, for a safe repeat");
+    create->add_option("--id", options->id,
+                       "id of this patch, for a safe retry");
     auto* show = add_watched_verb(*group, run, "show", "paid, granted, shares",
                                   [&run, options]
                                   { return show_budget(run, options->name); });
     show->add_option("NAME", options->name)->required();
-    auto* raise = add_verb(*group, run, "top-up", "add paid tokens, once an id",
-                           [&run, options] { return top_up(run, *options); });
+    auto* raise =
+        add_verb(*group, run, "top-up", "add paid tokens, once per id",
+                 [&run, options] { return top_up(run, *options); });
     raise->add_option("NAME", options->name)->required();
     raise->add_option("TOKENS", options->tokens)
         ->required()
         ->check(CLI::Range(token_count{1},
                            std::numeric_limits<token_count>::max()));
-    raise->add_option("--id", options->id, "of the payment, for a safe repeat")
+    raise
+        ->add_option("--id", options->id, "id of the payment, for a safe retry")
         ->required();
 }
 
--- a/src/ctl/completion.cpp
+++ b/src/ctl/completion.cpp
@@ -35,7 +35,7 @@
         write_cases(out, *verb, path + " " + verb->get_name(),
                     "--json --settings --platform --author ");
     }
-    // After its verbs: the pattern also stands for what follows a verb's name.
+    // The pattern also matches commands of its subcommands, so it follows them.
     auto const words = inherited + words_of(app);
     out << "    \"" << path << "\"*) words=\"" << words << "\" ;;\n";
 }
--- a/src/ctl/config_verbs.cpp
+++ b/src/ctl/config_verbs.cpp
@@ -36,7 +36,7 @@
            text.find_first_not_of("0123456789") == std::string::npos;
 }
 
-// For people, in UTC: "2026-12-02 21:40:00".
+// Formats a time for people, in UTC: "2026-12-02 21:40:00".
 std::string date_text(instant at)
 {
     constexpr std::size_t longest = 32;
@@ -58,7 +58,8 @@
     return config::find_version(run.port, text);
 }
 
-// Nothing given stands for the version in force.
+// Loads a version by number or name, or the version in force if `text` is
+// empty.
 result<config::document> load(session& run, std::string const& text)
 {
     if (text.empty())
@@ -199,8 +200,9 @@
         add_verb(group, run, "show", "a version, by default the one in force",
                  [&run, options] { return show(run, *options); });
     shown->add_option("VERSION", options->from, "number or name");
-    auto* compared = add_verb(group, run, "diff", "what changed from A to B",
-                              [&run, options] { return diff(run, *options); });
+    auto* compared =
+        add_verb(group, run, "diff", "list the changes from A to B",
+                 [&run, options] { return diff(run, *options); });
     compared->add_option("A", options->from, "number or name")->required();
     compared->add_option("B", options->to,
                          "number or name, by default the one in force");
@@ -224,18 +226,20 @@
     patched->add_option("FILE", options->file)->required();
     patched
         ->add_option("--base", options->base,
-                     "the version you have seen, 0 for the first document")
+                     "the version you last read, 0 for the first document")
         ->required();
     patched->add_option("--id", options->id,
-                        "of this patch, for a safe repeat");
-    auto* rolled = add_verb(
-        group, run, "roll-forward", "make an older content the next version",
-        [&run, options] { return roll_forward(run, *options); });
+                        "id of this patch, for a safe retry");
+    auto* rolled =
+        add_verb(group, run, "roll-forward",
+                 "make the content of a version the next one",
+                 [&run, options] { return roll_forward(run, *options); });
     rolled->add_option("VERSION", options->from, "number or name")->required();
-    rolled->add_option("--base", options->base, "the version you have seen")
+    rolled->add_option("--base", options->base, "the version you last read")
         ->required();
-    rolled->add_option("--id", options->id, "of this patch, for a safe repeat");
-    auto* named = add_verb(group, run, "name", "name a version, for good",
+    rolled->add_option("--id", options->id,
+                       "id of this patch, for a safe retry");
+    auto* named = add_verb(group, run, "name", "name a version permanently",
                            [&run, options] { return name(run, *options); });
     named->add_option("VERSION", options->base)->required();
     named->add_option("NAME", options->name)->required();
--- a/src/ctl/customer.cpp
+++ b/src/ctl/customer.cpp
@@ -116,7 +116,8 @@
         return wanted;
     };
     auto const code = patch_current(run, "", make, {{"key", key}});
-    // The key would be lost with the answer although the customer may exist.
+    // Without this the key would be lost with the response although the
+    // customer may exist.
     if (code == exit_unknown)
     {
         run.err << "if `customer show " << options.name
@@ -140,11 +141,11 @@
     create->add_option("--budget", options->budget, "an existing budget")
         ->required();
     create->add_option("--max-concurrent", options->limits.max_concurrent,
-                       "open requests over the fleet");
+                       "open requests in the whole fleet");
     create->add_option("--tokens-per-second", options->limits.tokens_per_second,
-                       "tokens a second over the fleet");
+                       "tokens per second in the whole fleet");
     create->add_option("--priority", options->limits.priority,
-                       "larger goes first");
+                       "higher values go first");
     add_watched_verb(*group, run, "list", "all customers",
                      [&run] { return list_customers(run); });
     auto* show = add_watched_verb(
--- a/src/ctl/drain.cpp
+++ b/src/ctl/drain.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-// The life that runs now, as the router itself names it: the list may lag and
-// still show the one before.
+// Returns the running incarnation as the router itself reports it: the
+// platform's list may lag and still show the previous one.
 std::optional<incarnation_id> incarnation_of(fleet_member const& member)
 {
     if (!member.health.is_object())
@@ -43,7 +43,7 @@
             return *found;
         }
         return fail({error_kind::unavailable, "drain", member.listed.address,
-                     "the router does not say who it is: " + member.problem});
+                     "the router reports no incarnation: " + member.problem});
     }
     return fail({error_kind::not_found, "drain", "platform",
                  "no VM is listed under " + name});
@@ -64,7 +64,7 @@
     if (outcome.outcome != store::commit_outcome::applied)
     {
         return print_error(run, outcome.fault, true,
-                           "repeat the command; a second order is harmless");
+                           "repeat the command; a second drain is harmless");
     }
     print(run, {{"draining", router.value}}, {{"draining", router.value}});
     return exit_ok;
@@ -75,9 +75,9 @@
 void add_drain(CLI::App& app, session& run)
 {
     auto const name = std::make_shared<std::string>();
-    auto* verb =
-        add_verb(app, run, "drain", "have a router stop without cutting off",
-                 [&run, name] { return drain(run, *name); });
+    auto* verb = add_verb(app, run, "drain",
+                          "stop a router without cutting off responses",
+                          [&run, name] { return drain(run, *name); });
     verb->add_option("ROUTER", *name, "VM or IP:port")->required();
 }
 
--- a/src/ctl/engine.cpp
+++ b/src/ctl/engine.cpp
@@ -16,8 +16,8 @@
 
 using nlohmann::json;
 
-constexpr int number_attempts = 20;
-constexpr auto orders_path = "/orders";
+constexpr int max_number_attempts = 20;
+constexpr auto commands_path = "/orders";
 
 struct engine_options
 {
@@ -25,11 +25,11 @@
     std::string argument;
 };
 
-struct engine_order
+struct engine_command
 {
     std::string kind;
-    std::string member; ///< name of the argument in the order, empty: none
-    bool leaving{};     ///< routers are told first
+    std::string member; ///< name of the argument in the message; empty: none
+    bool drains{};      ///< routers are notified first
 };
 
 std::int64_t number_in(std::vector<store::row> const& rows)
@@ -42,14 +42,14 @@
     return value.is_object() ? value.value("number", std::int64_t{0}) : 0;
 }
 
-// The next fencing number of an engine. Two operators never get the same one;
-// a number whose answer was lost is left unused, which harms nothing.
+// Takes the next fencing number of an engine. Two operators never get the same
+// number; a number whose response was lost stays unused, which is harmless.
 result<std::int64_t> next_number(store::port const& port,
                                  std::string const& engine)
 {
     auto const key = "fencing/" + engine;
     error last;
-    for (int attempt = 0; attempt < number_attempts; ++attempt)
+    for (int attempt = 0; attempt < max_number_attempts; ++attempt)
     {
         BOOST_LEAF_AUTO(rows, port.read({key}));
         auto const version = rows.empty() ? 0 : rows.front().version;
@@ -62,47 +62,50 @@
         }
         last = outcome.fault;
     }
-    // No order was sent, whatever became of the number.
+    // No command was sent, whether or not the number was taken.
     last.kind = error_kind::unavailable;
     last.step = "take fencing number";
     return fail(last);
 }
 
-// What an engine's answer to an order means.
-std::optional<error> problem_of(http_answer const& answer,
-                                std::string const& address)
+// Returns the error that an engine's response to a command means, if any.
+std::optional<error> error_of(http_response const& response,
+                              std::string const& address)
 {
-    if (answer.status >= http_ok && answer.status < http_ok + 100)
+    if (response.status >= http_ok && response.status < http_ok + 100)
     {
         return std::nullopt;
     }
-    if (answer.status == http_conflict)
+    if (response.status == http_conflict)
     {
         return error{error_kind::conflict, "order", address,
-                     "a later order was given meanwhile"};
+                     "a later command was sent in the meantime"};
     }
-    auto const kind = answer.status >= http_server_error ? error_kind::timeout
-                                                         : error_kind::invalid;
+    auto const kind = response.status >= http_server_error
+                          ? error_kind::timeout
+                          : error_kind::invalid;
     return error{kind, "order", address,
-                 "status " + std::to_string(answer.status) + " " + answer.body};
+                 "status " + std::to_string(response.status) + " " +
+                     response.body};
 }
 
-result<std::int64_t> send_order(session& run, std::string const& engine,
-                                std::string const& address, json order)
+result<std::int64_t> send_command(session& run, std::string const& engine,
+                                  std::string const& address, json command)
 {
     BOOST_LEAF_AUTO(number, next_number(run.port, engine));
-    order["fencing"] = number;
-    BOOST_LEAF_AUTO(answer, run.call(address, orders_path, order.dump()));
-    if (auto const problem = problem_of(answer, address))
+    command["fencing"] = number;
+    BOOST_LEAF_AUTO(response, run.call(address, commands_path, command.dump()));
+    if (auto const problem = error_of(response, address))
     {
         return fail(*problem);
     }
     return number;
 }
 
-// Routers must stop sending before the engine stops taking.
-config::patch_result mark_leaving(session& run, std::string const& id,
-                                  std::string const& engine)
+// Marks the engine as draining in the configuration. Routers must stop sending
+// before the engine stops accepting requests.
+config::patch_result mark_draining(session& run, std::string const& id,
+                                   std::string const& engine)
 {
     auto const make = [&](config::document const&) -> wanted_patch
     {
@@ -111,8 +114,8 @@
     return submit_current(run, id, make);
 }
 
-int order(session& run, engine_order const& wanted,
-          engine_options const& options)
+int run_command(session& run, engine_command const& wanted,
+                engine_options const& options)
 {
     auto const document = current_document(run);
     if (!document)
@@ -127,10 +130,10 @@
             run, {{"ENGINE", "no backend server " + options.engine}});
     }
     auto const& server = found->second;
-    if (wanted.leaving && !server.leaving)
+    if (wanted.drains && !server.leaving)
     {
         auto const id = fresh_id(run);
-        auto const marked = mark_leaving(run, id, options.engine);
+        auto const marked = mark_draining(run, id, options.engine);
         if (marked.status != config::patch_status::accepted)
         {
             return print_patch(run, marked, id);
@@ -142,7 +145,8 @@
         body[wanted.member] = options.argument;
     }
     auto const sent = value_or_error(
-        [&] { return send_order(run, options.engine, server.address, body); });
+        [&]
+        { return send_command(run, options.engine, server.address, body); });
     if (auto const* problem = std::get_if<error>(&sent))
     {
         return print_error(run, *problem, true,
@@ -150,9 +154,9 @@
     }
     auto const number = std::get<std::int64_t>(sent);
     auto const* const fenced =
-        server.checks_fencing ? "an older order that arrives late is refused"
+        server.checks_fencing ? "a late older command is rejected"
                               : "this engine does not check fencing numbers: "
-                                "an older order that arrives late is obeyed";
+                                "a late older command is executed";
     print(run,
           {{"engine", options.engine},
            {"order", wanted.kind},
@@ -168,16 +172,16 @@
 
 void add_engine(CLI::App& app, session& run)
 {
-    auto* group = app.add_subcommand("engine", "orders to backend servers");
+    auto* group = app.add_subcommand("engine", "commands to backend servers");
     group->require_subcommand(1);
     group->fallthrough();
     auto const options = std::make_shared<engine_options>();
     auto const add = [&](std::string const& name, std::string const& help,
-                         engine_order const& wanted)
+                         engine_command const& wanted)
     {
         auto* verb = add_verb(*group, run, name, help,
                               [&run, options, wanted]
-                              { return order(run, wanted, *options); });
+                              { return run_command(run, wanted, *options); });
         verb->add_option("ENGINE", options->engine, "its configured name")
             ->required();
         if (!wanted.member.empty())
@@ -188,7 +192,7 @@
     add("load-model", "load a model", {"load_model", "model", false});
     add("unload-model", "unload a model", {"unload_model", "model", false});
     add("set-role", "change the role", {"set_role", "role", false});
-    add("leave", "take no new work; routers are told first",
+    add("leave", "drain an engine; routers are notified first",
         {"leave", "", true});
 }
 
--- a/src/ctl/fleet.cpp
+++ b/src/ctl/fleet.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-fleet_member ask(session& run, store::listed_vm const& vm)
+fleet_member read_health(session& run, store::listed_vm const& vm)
 {
     fleet_member member{vm, {}, ""};
     if (!config::is_address(vm.address))
@@ -24,14 +24,14 @@
         member.problem = "no numeric address in the list";
         return member;
     }
-    auto const answer =
+    auto const response =
         value_or_error([&] { return run.call(vm.address, "/healthz", ""); });
-    if (auto const* problem = std::get_if<error>(&answer))
+    if (auto const* problem = std::get_if<error>(&response))
     {
         member.problem = problem->detail;
         return member;
     }
-    auto const& got = std::get<http_answer>(answer);
+    auto const& got = std::get<http_response>(response);
     member.health = json::parse(got.body, nullptr, false);
     if (got.status != http_ok || !member.health.is_object())
     {
@@ -90,7 +90,7 @@
     members.reserve(vms.size());
     for (auto const& vm : vms)
     {
-        members.push_back(ask(run, vm));
+        members.push_back(read_health(run, vm));
     }
     return members;
 }
@@ -98,7 +98,7 @@
 void add_fleet(CLI::App& app, session& run)
 {
     add_watched_verb(app, run, "fleet",
-                     "VMs, incarnations, versions in force, leaving",
+                     "VMs, incarnations, versions in force, draining",
                      [&run] { return show_fleet(run); });
 }
 
--- a/src/ctl/fleet.hpp
+++ b/src/ctl/fleet.hpp
@@ -9,18 +9,18 @@
 namespace caperpath::ctl
 {
 
-/// A VM of the platform's list and what its router says of itself. Immutable
-/// value.
+/// A VM of the platform's list and the health that its router reports.
+/// Immutable value.
 struct fleet_member
 {
     store::listed_vm listed;
-    nlohmann::json health; ///< null when the router did not answer
+    nlohmann::json health; ///< null if the router did not respond
     std::string problem;   ///< why not
 
     friend bool operator==(fleet_member const&, fleet_member const&) = default;
 };
 
-/// Asks the platform for its list and each VM for `/healthz`. Blocks.
+/// Reads the VM list from the platform and `/healthz` from each VM. Blocks.
 result<std::vector<fleet_member>> read_fleet(session& run);
 
 } // namespace caperpath::ctl
--- a/src/ctl/http_client.hpp
+++ b/src/ctl/http_client.hpp
@@ -6,10 +6,11 @@
 namespace caperpath::ctl
 {
 
-/// An `http_call` over cpp-httplib with bounded waits. Blocks; thread safe.
-/// @pre `config::is_address(address)`.
-result<http_answer> call_http(std::string const& address,
-                              std::string const& path, std::string const& body);
+/// An `http_call` over cpp-httplib with timeouts. Blocks; thread safe. @pre
+/// `config::is_address(address)`.
+result<http_response> call_http(std::string const& address,
+                                std::string const& path,
+                                std::string const& body);
 
 } // namespace caperpath::ctl
 
--- a/src/ctl/policy.cpp
+++ b/src/ctl/policy.cpp
@@ -58,10 +58,10 @@
     auto const options = std::make_shared<policy_options>();
     add_verb(*group, run, "list", "known policies and the one in force",
              [&run] { return list_policies(run); });
-    auto* set = add_verb(*group, run, "set", "swap the routing policy",
+    auto* set = add_verb(*group, run, "set", "change the routing policy",
                          [&run, options] { return set_policy(run, *options); });
     set->add_option("POLICY", options->policy)->required();
-    set->add_option("--id", options->id, "of this patch, for a safe repeat");
+    set->add_option("--id", options->id, "id of this patch, for a safe retry");
 }
 
 } // namespace caperpath::ctl
--- a/src/ctl/report.cpp
+++ b/src/ctl/report.cpp
@@ -20,19 +20,19 @@
 
 using nlohmann::json;
 
-// The sums of one budget over the table's rows.
+// The totals of one budget over the table's rows.
 struct budget_sums
 {
     token_count paid{};
     token_count granted{};
     token_count spent{};    ///< in the ledger
-    token_count held{};     ///< of dead routers, not proved, not released
-    token_count stranded{}; ///< in shares of routers that serve no more
+    token_count held{};     ///< of dead routers: neither proved nor released
+    token_count stranded{}; ///< in shares of routers that no longer serve
 };
 
 using all_sums = std::map<std::string, budget_sums>;
 
-// "budget" of the key "<prefix><budget>/<incarnation>", then the incarnation.
+// Splits the key "<prefix><budget>/<incarnation>" into budget and incarnation.
 std::pair<std::string, std::string> split_key(std::string const& key,
                                               std::string const& prefix)
 {
@@ -126,7 +126,7 @@
     return sums;
 }
 
-// Adds up the counters of one router's /metrics that a report shows.
+// Adds the counters of one router's /metrics that a report shows to `sums`.
 void add_counters(std::string const& text, std::map<std::string, double>& sums)
 {
     std::istringstream lines{text};
@@ -151,30 +151,30 @@
 
 std::map<std::string, double>
 read_counters(session& run, std::vector<fleet_member> const& members,
-              std::vector<std::string>& silent)
+              std::vector<std::string>& unreachable)
 {
     std::map<std::string, double> sums;
     for (auto const& member : members)
     {
         auto const address = member.listed.address;
-        auto const answer =
+        auto const response =
             member.health.is_object()
                 ? value_or_error([&]
                                  { return run.call(address, "/metrics", ""); })
-                : std::variant<http_answer, error>{error{}};
-        if (auto const* got = std::get_if<http_answer>(&answer))
+                : std::variant<http_response, error>{error{}};
+        if (auto const* got = std::get_if<http_response>(&response))
         {
             add_counters(got->body, sums);
             continue;
         }
-        silent.push_back(address);
+        unreachable.push_back(address);
     }
     return sums;
 }
 
 std::vector<std::vector<std::string>>
 make_table(all_sums const& sums, std::map<std::string, double> const& counters,
-           std::vector<std::string> const& silent)
+           std::vector<std::string> const& unreachable)
 {
     std::vector<std::vector<std::string>> table{{"BUDGET", "PAID", "GRANTED",
                                                  "SPENT", "OVERSPEND", "HELD",
@@ -191,16 +191,16 @@
     {
         table.push_back({name, std::to_string(static_cast<long long>(value))});
     }
-    for (auto const& address : silent)
+    for (auto const& address : unreachable)
     {
-        table.push_back({"not counted, no answer:", address});
+        table.push_back({"not counted, no response:", address});
     }
     return table;
 }
 
 json make_json(all_sums const& sums,
                std::map<std::string, double> const& counters,
-               std::vector<std::string> const& silent)
+               std::vector<std::string> const& unreachable)
 {
     json budgets = json::object();
     for (auto const& [name, one] : sums)
@@ -215,7 +215,7 @@
     }
     return {{"budgets", budgets},
             {"counters", counters},
-            {"routers_not_counted", silent}};
+            {"routers_not_counted", unreachable}};
 }
 
 int report(session& run)
@@ -230,11 +230,11 @@
     {
         return print_error(run, *problem, false);
     }
-    std::vector<std::string> silent;
-    auto const counters = read_counters(run, std::get<0>(members), silent);
+    std::vector<std::string> unreachable;
+    auto const counters = read_counters(run, std::get<0>(members), unreachable);
     auto const& budgets = std::get<all_sums>(sums);
-    print(run, make_json(budgets, counters, silent),
-          make_table(budgets, counters, silent));
+    print(run, make_json(budgets, counters, unreachable),
+          make_table(budgets, counters, unreachable));
     return exit_ok;
 }
 
--- a/src/ctl/run.cpp
+++ b/src/ctl/run.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr int race_attempts = 50;
+constexpr int max_conflict_attempts = 50;
 constexpr auto exit_code_help =
     "Exit codes: 0 ok, 1 failed, 2 usage or invalid, 3 conflict, 4 unknown "
     "outcome, 5 unavailable.";
@@ -26,10 +26,10 @@
                    R"(JSON file: {"platform": "IP:port", "author": "name"})")
         ->type_name("FILE");
     app.add_option("--platform", run.platform_address,
-                   "the platform's address, goes before the settings")
+                   "the platform's address; overrides the settings")
         ->type_name("IP:port");
     app.add_option("--author", run.author,
-                   "your name in the history, goes before the settings")
+                   "your name in the history; overrides the settings")
         ->type_name("NAME");
 }
 
@@ -49,7 +49,7 @@
     run.author = run.author.empty() ? author : run.author;
 }
 
-// True when `run.port` is set; otherwise the faults are printed.
+// Sets `run.port` and returns true; otherwise prints the faults.
 bool open_platform(session& run)
 {
     std::vector<config::fault> faults;
@@ -75,12 +75,12 @@
 
 int run(session& run, int argc, char const* const* argv)
 {
-    CLI::App app{"Drives a caperpath site: customers, budgets, policies, "
+    CLI::App app{"Administers a caperpath site: customers, budgets, policies, "
                  "configuration, routers and engines."};
     app.name("caperpathctl");
     app.footer(exit_code_help);
     app.require_subcommand(1);
-    // Lets --json and its like stand behind the verb as well.
+    // Accepts --json and the other global options after the verb as well.
     app.fallthrough();
     add_global_options(app, run);
     add_customer(app, run);
@@ -136,7 +136,7 @@
         return code;
     };
     auto* verb = add_verb(group, run, name, help, repeat);
-    verb->add_option("--watch", *seconds, "repeat every so many seconds")
+    verb->add_option("--watch", *seconds, "repeat at this interval")
         ->type_name("SECONDS")
         ->check(CLI::Range(1, 3'600));
     return verb;
@@ -168,7 +168,7 @@
                std::function<wanted_patch(config::document const&)> const& make)
 {
     config::patch_result outcome;
-    for (int attempt = 0; attempt < race_attempts; ++attempt)
+    for (int attempt = 0; attempt < max_conflict_attempts; ++attempt)
     {
         auto const loaded =
             value_or_error([&] { return load_or_empty(run.port); });
--- a/src/ctl/session.cpp
+++ b/src/ctl/session.cpp
@@ -46,7 +46,7 @@
     switch (code)
     {
     case exit_conflict:
-        return "look at what changed and decide again";
+        return "review the changes and decide again";
     case exit_unknown:
         return "repeat the command with the same --id to learn what happened";
     case exit_unavailable:
--- a/src/ctl/session.hpp
+++ b/src/ctl/session.hpp
@@ -17,33 +17,35 @@
 namespace caperpath::ctl
 {
 
-/// What `caperpathctl` ends with; documented for scripts.
+/// Exit codes of `caperpathctl`; documented for scripts.
 enum exit_code
 {
     exit_ok = 0,
     exit_failed = 1,
-    exit_invalid = 2, ///< usage, settings or content; a repeat fails too
+    exit_invalid = 2, ///< usage, settings or content; a retry fails too
     exit_conflict = 3,
     exit_unknown = 4, ///< it may have taken effect
     exit_unavailable = 5
 };
 
-/// The answer of a router or an engine. Immutable value.
-struct http_answer
+/// The response of a router or an engine. Immutable value.
+struct http_response
 {
     int status{};
     std::string body;
 
-    friend bool operator==(http_answer const&, http_answer const&) = default;
+    friend bool operator==(http_response const&,
+                           http_response const&) = default;
 };
 
-/// Sends one request; an empty body is a GET, else a POST of JSON. Error
-/// `unavailable` when it provably did not arrive, `timeout` when it may have.
-using http_call = std::function<result<http_answer>(std::string const& address,
-                                                    std::string const& path,
-                                                    std::string const& body)>;
+/// Sends one request: a GET if the body is empty, else a POST of JSON. Fails
+/// with `unavailable` if the request provably did not arrive, and with
+/// `timeout` if it may have.
+using http_call = std::function<result<http_response>(
+    std::string const& address, std::string const& path,
+    std::string const& body)>;
 
-/// What one run of the tool works with. Not thread safe.
+/// The state of one run of the tool. Not thread safe.
 struct session
 {
     std::ostream& out;
@@ -62,27 +64,27 @@
     store::port port{}; ///< set before a verb runs
 };
 
-/// Prints what a verb found: the JSON in one line, or the rows as a table with
-/// the first row as its head.
+/// Prints the result of a verb: the JSON in one line, or the rows as a table
+/// whose first row is the header.
 void print(session& run, nlohmann::json const& value,
            std::vector<std::vector<std::string>> const& table);
 
-/// Prints an error with its step and peer and what to do, and gives the exit
-/// code. `wrote` is true when the verb may have had an effect.
+/// Prints an error with its step, its peer and advice, and returns the exit
+/// code. `wrote` is true if the verb may have had an effect.
 int print_error(session& run, error const& problem, bool wrote,
                 std::string const& advice = "");
 
-/// Prints each fault by its path; gives `exit_invalid`.
+/// Prints each fault with its path; returns `exit_invalid`.
 int print_faults(session& run, std::vector<config::fault> const& faults);
 
-/// Prints what became of a patch and gives the exit code.
+/// Prints the result of a patch and returns the exit code.
 int print_patch(session& run, config::patch_result const& outcome,
                 std::string const& id, nlohmann::json extra = nlohmann::json{});
 
-/// A fresh id for a patch that the operator gave none.
+/// Returns a random id for a patch to which the operator gave none.
 std::string fresh_id(session& run);
 
-/// Reads and checks a file of JSON; faults are added.
+/// Reads a JSON file; adds faults if it cannot be read or parsed.
 nlohmann::json read_file(std::string const& file,
                          std::vector<config::fault>& faults);
 
--- a/src/ctl/table_scan.hpp
+++ b/src/ctl/table_scan.hpp
@@ -9,7 +9,7 @@
 namespace caperpath::ctl
 {
 
-/// Every row whose key starts with `prefix`, page by page. Blocks.
+/// Returns every row whose key starts with `prefix`, read page by page. Blocks.
 result<std::vector<store::row>> scan_all(store::port const& port,
                                          std::string const& prefix);
 
--- a/src/ctl/verbs.hpp
+++ b/src/ctl/verbs.hpp
@@ -18,11 +18,11 @@
 namespace caperpath::ctl
 {
 
-/// Parses the command line, runs the verb and gives the exit code. Not thread
+/// Parses the command line, runs the verb and returns the exit code. Not thread
 /// safe.
 int run(session& run, int argc, char const* const* argv);
 
-/// Each adds one group of verbs. `app` and `run` outlive the parsing.
+/// Each adds one group of verbs. @pre `app` and `run` outlive the parsing.
 void add_customer(CLI::App& app, session& run);
 void add_budget(CLI::App& app, session& run);
 void add_policy(CLI::App& app, session& run);
@@ -33,12 +33,13 @@
 void add_report(CLI::App& app, session& run);
 void add_completion(CLI::App& app, session& run);
 
-/// A verb of a group: connects to the platform, then calls `act` and keeps its
-/// exit code.
+/// Adds a verb to a group: it connects to the platform, calls `act` and stores
+/// the exit code in `run`.
 CLI::App* add_verb(CLI::App& group, session& run, std::string const& name,
                    std::string const& help, std::function<int()> act);
 
-/// As `add_verb`, with `--watch SECONDS`: repeats until the verb fails.
+/// As `add_verb`, with `--watch SECONDS`, which repeats the verb until it
+/// fails.
 CLI::App* add_watched_verb(CLI::App& group, session& run,
                            std::string const& name, std::string const& help,
                            std::function<int()> act);
@@ -47,26 +48,27 @@
 CLI::App* add_local_verb(CLI::App& group, session& run, std::string const& name,
                          std::string const& help, std::function<int()> act);
 
-/// The version in force, an empty document when there is none. Blocks.
+/// Loads the version in force, or an empty document if there is none. Blocks.
 result<config::document> load_or_empty(store::port const& port);
 
 /// As `load_or_empty`; prints the error and sets `run.code` if it fails.
 std::optional<config::document> current_document(session& run);
 
-/// What a verb wants to change in a document that it has looked at.
+/// The patch that a verb derives from the document it has read.
 struct wanted_patch
 {
     nlohmann::json patch;
     std::vector<config::fault> faults; ///< not empty: nothing is sent
 };
 
-/// Patches whatever version is in force: `make` is asked again when another
-/// operator was faster, so that it decides on what is then in force.
+/// Patches the version in force. Calls `make` again after a conflict with
+/// another operator, so that the patch is derived from the version that is then
+/// in force.
 config::patch_result submit_current(
     session& run, std::string const& id,
     std::function<wanted_patch(config::document const&)> const& make);
 
-/// As `submit_current`; prints the result and gives the exit code.
+/// As `submit_current`; prints the result and returns the exit code.
 int patch_current(
     session& run, std::string const& id,
     std::function<wanted_patch(config::document const&)> const& make,
--- a/src/store/exchange.cpp
+++ b/src/store/exchange.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-// httplib reports these two before it has written a byte. It looks once at a
-// kept connection, reconnects when that one is closed, writes the request once
-// and never again; everything else may have reached the platform.
+// httplib reports these two errors before it has written a byte. It checks a
+// kept connection once, reconnects if that is closed, and writes the request
+// only once; after any other error the request may have reached the platform.
 bool never_sent(httplib::Error fault)
 {
     return fault == httplib::Error::Connection ||
@@ -36,8 +36,9 @@
 {
     auto client = this->take();
     auto const deadline = this->now.now() + this->options.read_timeout;
-    // The read timeout starts anew with each piece; a peer that trickles its
-    // answer would hold the caller without end.
+    // The read timeout restarts with each received piece, so without this
+    // deadline a peer that sends its response slowly could block the caller
+    // indefinitely.
     request.progress = [this, deadline](std::uint64_t, std::uint64_t)
     {
         return this->now.now() < deadline;
@@ -47,7 +48,7 @@
     if (client->send(request, response, fault))
     {
         this->give_back(std::move(client));
-        return {exchange_state::answered, response.status,
+        return {exchange_state::complete, response.status,
                 std::move(response.body), ""};
     }
     this->drop_idle();
@@ -80,9 +81,9 @@
     }
 }
 
-// One exchange failed, so whatever broke it (a restart of the platform,
-// something on the way that lost track) broke its neighbours too. Without this
-// each of them would cost one more call its full timeout.
+// Drops all idle connections after a failed exchange: its cause (a restart of
+// the platform, a device on the path that lost its state) probably broke them
+// too. Otherwise each of them would cost one more call its full timeout.
 void connection_pool::drop_idle()
 {
     std::lock_guard const lock{this->mutex};
@@ -101,7 +102,8 @@
     client->set_keep_alive(true);
     client->set_tcp_nodelay(true);
     client->set_url_encode(false);
-    // A redirect or an answer to a challenge would send a write twice.
+    // Following a redirect or an authentication challenge would send a write
+    // twice.
     client->set_follow_location(false);
     return client;
 }
--- a/src/store/exchange.hpp
+++ b/src/store/exchange.hpp
@@ -17,34 +17,34 @@
 /// How far an exchange got.
 enum class exchange_state
 {
-    unsent,  ///< no connection was made, so nothing can have arrived
-    lost,    ///< sent in part or whole, and no whole answer came back
-    answered ///< `status` and `body` are whole
+    unsent,  ///< no connection was made, so nothing was sent
+    lost,    ///< sent in part or whole, without a complete response
+    complete ///< `status` and `body` are complete
 };
 
-/// What came of one HTTP request. Immutable value.
+/// The result of one HTTP request. Immutable value.
 struct exchange
 {
     exchange_state state{exchange_state::unsent};
     int status{};
     std::string body;
-    std::string detail; ///< why there is no answer
+    std::string detail; ///< why there is no response
 
     friend bool operator==(exchange const&, exchange const&) = default;
 };
 
-/// Connections to one peer: as many as there are exchanges at once, and the
-/// last used idle ones are kept. Thread safe.
+/// A pool of connections to one peer. Each concurrent exchange uses its own
+/// connection; the most recently used idle ones are kept. Thread safe.
 class connection_pool
 {
 public:
     explicit connection_pool(http_port_options options);
 
-    /// Sends `request` at most once and waits for its answer. Never throws for
-    /// a fault of the network. @pre `request.path` starts with "/".
+    /// Sends `request` at most once and waits for the response. Never throws on
+    /// network errors. @pre `request.path` starts with "/".
     exchange send(httplib::Request request);
 
-    /// "IP:port" of the other side.
+    /// Returns "IP:port" of the peer.
     std::string const& peer() const;
 
 private:
--- a/src/store/http_port.cpp
+++ b/src/store/http_port.cpp
@@ -37,23 +37,24 @@
     return request;
 }
 
-std::optional<wire::refusal> refusal_of(exchange const& done)
+std::optional<wire::refusal> rejection_of(exchange const& done)
 {
-    if (done.state != exchange_state::answered ||
+    if (done.state != exchange_state::complete ||
         done.status < first_failure_status)
     {
         return std::nullopt;
     }
-    // The status alone proves nothing: a balancer also answers 503 when the
-    // platform died after the write. Only the platform's own word counts, or a
-    // caller would take a written bill for refused and write it again.
+    // The status alone proves nothing: a balancer also responds 503 if the
+    // platform died after the write. Only a body from the platform itself
+    // counts; otherwise a caller would treat a written bill as rejected and
+    // write it again.
     auto const decoded =
         value_or_error([&] { return wire::decode_refusal(done.body); });
     auto const* why = std::get_if<wire::refusal>(&decoded);
     return why == nullptr ? std::nullopt : std::optional{*why};
 }
 
-// The error of an exchange that was neither a success nor a refusal.
+// Returns the error of an exchange that was neither a success nor a rejection.
 error failure_of(exchange const& done, char const* step,
                  std::string const& peer)
 {
@@ -63,11 +64,11 @@
         return {error_kind::unavailable, step, peer, done.detail};
     case exchange_state::lost:
         return {error_kind::timeout, step, peer, done.detail};
-    case exchange_state::answered:
+    case exchange_state::complete:
         break;
     }
     return {error_kind::timeout, step, peer,
-            "answer not understood, status " + std::to_string(done.status)};
+            "unexpected response, status " + std::to_string(done.status)};
 }
 
 commit_result write(connection_pool& pool, char const* step,
@@ -75,12 +76,12 @@
 {
     auto const& peer = pool.peer();
     auto const done = pool.send(std::move(request));
-    if (done.state == exchange_state::answered && done.status == ok_status &&
+    if (done.state == exchange_state::complete && done.status == ok_status &&
         wire::is_applied(done.body))
     {
         return {commit_outcome::applied, {}, {}};
     }
-    if (auto const why = refusal_of(done))
+    if (auto const why = rejection_of(done))
     {
         return {commit_outcome::refused,
                 why->failed,
@@ -112,21 +113,21 @@
 {
     auto const& peer = pool.peer();
     auto done = pool.send(std::move(request));
-    if (done.state == exchange_state::answered && done.status == ok_status)
+    if (done.state == exchange_state::complete && done.status == ok_status)
     {
         return std::move(done.body);
     }
-    if (auto const why = refusal_of(done))
+    if (auto const why = rejection_of(done))
     {
         return fail({why->kind, step, peer, why->detail});
     }
     return fail(failure_of(done, step, peer));
 }
 
-// Gives an error of the codec the step and peer of the call it arose in.
+// Adds the step and peer of the call to an error of the codec.
 template <class Value>
-result<Value> placed(std::variant<Value, error> outcome, char const* step,
-                     std::string const& peer)
+result<Value> with_call_site(std::variant<Value, error> outcome,
+                             char const* step, std::string const& peer)
 {
     if (auto const* fault = std::get_if<error>(&outcome))
     {
@@ -135,27 +136,27 @@
     return std::get<Value>(std::move(outcome));
 }
 
-// A query whose answer is JSON.
+// A query with a JSON response.
 template <class Decode>
 auto query_json(connection_pool& pool, char const* step,
                 httplib::Request request, Decode decode)
     -> decltype(decode(std::string{}))
 {
-    auto answer = query(pool, step, std::move(request));
-    if (!answer)
+    auto response = query(pool, step, std::move(request));
+    if (!response)
     {
-        return answer.error();
+        return response.error();
     }
-    return placed(value_or_error([&] { return decode(*answer); }), step,
-                  pool.peer());
+    return with_call_site(value_or_error([&] { return decode(*response); }),
+                          step, pool.peer());
 }
 
-// A query whose body and answer are JSON.
+// A query with a JSON body and a JSON response.
 template <class Encode, class Decode>
 auto query_json(connection_pool& pool, char const* step, char const* path,
                 Encode encode, Decode decode) -> decltype(decode(std::string{}))
 {
-    auto body = placed(value_or_error(encode), step, pool.peer());
+    auto body = with_call_site(value_or_error(encode), step, pool.peer());
     if (!body)
     {
         return body.error();
@@ -169,9 +170,9 @@
 
 port make_http_port(http_port_options const& options)
 {
-    // httplib's client writes without MSG_NOSIGNAL. When the platform closes a
-    // connection between the library's look at it and its write, SIGPIPE would
-    // end the process without a word; ignored, it is an ordinary lost exchange.
+    // httplib's client writes without MSG_NOSIGNAL. If the platform closes a
+    // connection between the library's check and its write, SIGPIPE would end
+    // the process without a message; ignored, it is an ordinary lost exchange.
     std::signal(SIGPIPE, SIG_IGN);
     auto const pool = std::make_shared<connection_pool>(options);
     port made;
--- a/src/store/memory_table.cpp
+++ b/src/store/memory_table.cpp
@@ -84,8 +84,8 @@
             this->rows.erase(write.key);
             continue;
         }
-        // A key that is deleted and written again goes on counting, so that an
-        // old condition never matches a newer row.
+        // Versions of a deleted key keep counting when the key is written
+        // again, so that an old condition never matches a newer row.
         auto const version = ++this->last_versions[write.key];
         this->rows[write.key] = {write.key, version, *write.value};
     }
--- a/src/store/stand_in.cpp
+++ b/src/store/stand_in.cpp
@@ -27,7 +27,7 @@
 
 constexpr char any_object[] = R"(/objects/([\s\S]+))";
 constexpr char any_vm[] = R"(/vms/([^/]+))";
-constexpr duration silence{60'000};
+constexpr duration silent_duration{60'000};
 constexpr std::size_t max_object_bytes = 64 * 1024 * 1024;
 
 http::server_options server_limits()
@@ -176,8 +176,8 @@
                    [&](duration) { action(); });
     }
 
-    // Faults first, then the rate limit, then the effect, then the answer.
-    // `action` is told how much further the VM list lags.
+    // Applies the planned fault, then the rate limit, then the effect, then
+    // responds. `action` receives the additional lag of the VM list.
     template <class Action>
     void call(char const* step, token_bucket& limit, std::int64_t& counted,
               Request const& in, Response& out, Action action)
@@ -186,7 +186,7 @@
         auto const kind = fault ? fault->kind : "";
         if (kind == "outage")
         {
-            refuse(out, error_kind::unavailable, "planned outage");
+            write_rejection(out, error_kind::unavailable, "planned outage");
             return;
         }
         if (kind == "error")
@@ -196,7 +196,7 @@
         }
         if (kind == "silent")
         {
-            this->hold(silence);
+            this->hold(silent_duration);
             http::cut_connection(in);
             return;
         }
@@ -206,7 +206,7 @@
         }
         if (!this->admit(limit, counted))
         {
-            refuse(out, error_kind::refused, "rate limit");
+            write_rejection(out, error_kind::refused, "rate limit");
             return;
         }
         action(kind == "lag" ? fault->span : duration{});
@@ -237,7 +237,7 @@
                   [&](transaction const& txn)
                   {
                       auto const outcome = this->table.commit(txn);
-                      answer(out, outcome);
+                      write_response(out, outcome);
                       if (outcome.outcome == commit_outcome::applied)
                       {
                           std::lock_guard const lock{this->mutex};
@@ -269,7 +269,8 @@
 
     void put_object(Request const& in, Response& out)
     {
-        answer(out, this->table.put_object(in.matches[1].str(), in.body));
+        write_response(out,
+                       this->table.put_object(in.matches[1].str(), in.body));
     }
 
     void get_object(Request const& in, Response& out)
@@ -278,7 +279,7 @@
         auto const content = this->table.get_object(name);
         if (!content)
         {
-            refuse(out, error_kind::not_found, "no object " + name);
+            write_rejection(out, error_kind::not_found, "no object " + name);
             return;
         }
         out.set_content(*content, "application/octet-stream");
@@ -314,7 +315,7 @@
     {
         if (!this->change_vms(name, std::nullopt))
         {
-            refuse(out, error_kind::not_found, "no VM " + name);
+            write_rejection(out, error_kind::not_found, "no VM " + name);
             return;
         }
         out.set_content(wire::encode_applied(), json_type);
@@ -326,7 +327,7 @@
         auto const found = this->faults.add(wanted, this->now.now());
         if (!found.empty())
         {
-            refuse(out, found);
+            write_rejection(out, found);
             return;
         }
         out.set_content(wire::encode_applied(), json_type);
@@ -336,7 +337,7 @@
     caperpath::clock const now;
     memory_table table;
     http::fault_plan faults{vocabulary};
-    std::mutex mutex; // guards what follows but the server
+    std::mutex mutex; // guards the members below except the server
     std::condition_variable wake;
     bool stopping{false};
     counters count;
--- a/src/store/stand_in.hpp
+++ b/src/store/stand_in.hpp
@@ -18,34 +18,34 @@
 /// Settings of `caperpath-platform`. Immutable value.
 struct stand_in_settings
 {
-    std::string listen{"127.0.0.1:0"}; ///< "IP:port", port 0: any free one
+    std::string listen{"127.0.0.1:0"}; ///< "IP:port"; port 0: any free port
     std::int64_t writes_per_second{300};
     std::int64_t reads_per_second{2'000};
-    duration list_lag{}; ///< how old the VM list is that callers see
+    duration list_lag{}; ///< age of the VM list that callers see
     std::vector<listed_vm> vms;
 
     friend bool operator==(stand_in_settings const&,
                            stand_in_settings const&) = default;
 };
 
-/// Adds every fault of `value`. Thread safe.
+/// Reads the settings and adds every fault of `value`. Thread safe.
 stand_in_settings read_stand_in_settings(nlohmann::json const& value,
                                          std::vector<config::fault>& faults);
 
-/// A fake of the platform for trials and tests: serves a `memory_table` as in
-/// wire.hpp, and besides
+/// An emulator of the platform for trials and tests. It serves a `memory_table`
+/// as described in wire.hpp, and also
 ///
 ///     POST   /faults     plans a fault (see http/fault_plan.hpp)
-///     DELETE /faults     clears them all
+///     DELETE /faults     clears all planned faults
 ///     POST   /vms        adds a VM to the list or replaces it
-///     DELETE /vms/NAME   removes one
-///     GET    /stats      counts writes, reads, rows written, refused by rate
+///     DELETE /vms/NAME   removes a VM
+///     GET    /stats      counts writes, reads, rows written, rate rejections
 ///
-/// Not thread safe itself; the served calls are.
+/// Not thread safe itself; the calls that it serves are.
 class stand_in
 {
 public:
-    /// `now` drives the rate limits, the outages and the list's lag.
+    /// `now` is the clock of the rate limits, the outages and the list's lag.
     explicit stand_in(stand_in_settings const& settings,
                       caperpath::clock const& now = clock::monotonic());
     ~stand_in();
@@ -53,11 +53,11 @@
     stand_in(stand_in const&) = delete;
     stand_in& operator=(stand_in const&) = delete;
 
-    /// Serves on threads of its own. Returns "IP:port" as bound, or an empty
-    /// text when the address cannot be bound.
+    /// Starts serving on its own threads. Returns "IP:port" as bound, or an
+    /// empty string if the address cannot be bound.
     std::string start();
 
-    /// Ends silent and delayed calls, then the server. Idempotent.
+    /// Ends silent and delayed calls, then stops the server. Idempotent.
     void stop();
 
 private:
--- a/src/store/stand_in_answer.cpp
+++ b/src/store/stand_in_answer.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-void refuse(httplib::Response& response, int status, wire::refusal const& why)
+void write_rejection(httplib::Response& response, int status,
+                     wire::refusal const& why)
 {
     response.status = status;
     response.set_content(wire::encode(why), json_type);
@@ -36,31 +37,32 @@
 
 } // namespace
 
-void refuse(httplib::Response& response, error_kind kind, std::string detail)
+void write_rejection(httplib::Response& response, error_kind kind,
+                     std::string detail)
 {
-    refuse(response, status_of(kind), {kind, std::move(detail), {}});
+    write_rejection(response, status_of(kind), {kind, std::move(detail), {}});
 }
 
-void refuse(httplib::Response& response,
-            std::vector<config::fault> const& faults)
+void write_rejection(httplib::Response& response,
+                     std::vector<config::fault> const& faults)
 {
     std::string detail;
     for (auto const& fault : faults)
     {
         detail += fault.path + ": " + fault.detail + "\n";
     }
-    refuse(response, error_kind::invalid, detail);
+    write_rejection(response, error_kind::invalid, detail);
 }
 
-void answer(httplib::Response& response, commit_result const& outcome)
+void write_response(httplib::Response& response, commit_result const& outcome)
 {
     if (outcome.outcome == commit_outcome::applied)
     {
         response.set_content(wire::encode_applied(), json_type);
         return;
     }
-    refuse(response, status_of(outcome.fault.kind),
-           {outcome.fault.kind, outcome.fault.detail, outcome.failed});
+    write_rejection(response, status_of(outcome.fault.kind),
+                    {outcome.fault.kind, outcome.fault.detail, outcome.failed});
 }
 
 } // namespace caperpath::store
--- a/src/store/stand_in_answer.hpp
+++ b/src/store/stand_in_answer.hpp
@@ -11,23 +11,24 @@
 #include <variant>
 #include <vector>
 
-/// The stand-in's answers over HTTP. All functions are thread safe.
+/// HTTP responses of the platform emulator. All functions are thread safe.
 namespace caperpath::store
 {
 
 constexpr char json_type[] = "application/json";
 
-/// Says that nothing took effect, with the status that goes with `kind`.
-void refuse(httplib::Response& response, error_kind kind, std::string detail);
+/// Responds that nothing took effect, with the status for `kind`.
+void write_rejection(httplib::Response& response, error_kind kind,
+                     std::string detail);
 
-/// Names every fault of a body.
-void refuse(httplib::Response& response,
-            std::vector<config::fault> const& faults);
+/// Responds with every fault of a request body.
+void write_rejection(httplib::Response& response,
+                     std::vector<config::fault> const& faults);
 
 /// @pre `outcome` is applied or refused.
-void answer(httplib::Response& response, commit_result const& outcome);
+void write_response(httplib::Response& response, commit_result const& outcome);
 
-/// Calls `use` with what `decode` gives, or answers that the body is wrong.
+/// Calls `use` with the decoded body, or responds that the body is invalid.
 template <class Decode, class Use>
 void with_body(httplib::Request const& request, httplib::Response& response,
                Decode decode, Use use)
@@ -35,7 +36,7 @@
     auto decoded = value_or_error([&] { return decode(request.body); });
     if (auto const* fault = std::get_if<error>(&decoded))
     {
-        refuse(response, error_kind::invalid, fault->detail);
+        write_rejection(response, error_kind::invalid, fault->detail);
         return;
     }
     use(std::get<0>(decoded));
--- a/src/store/token_bucket.cpp
+++ b/src/store/token_bucket.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// A rate of calls a second is the same number of thousandths a millisecond.
+// A rate in calls per second equals thousandths of a call per millisecond.
 constexpr std::int64_t one_call = 1'000;
 constexpr std::int64_t burst_ms = 250;
 
@@ -23,7 +23,8 @@
 bool token_bucket::take(instant now)
 {
     auto const passed = std::max<std::int64_t>(0, (now - this->filled).ms);
-    // More than a second fills it whatever the rate; bounds the product below.
+    // One second fills the bucket at any rate; the limit bounds the product
+    // below.
     auto const counted = std::min<std::int64_t>(passed, one_call);
     this->level = std::min(this->capacity, this->level + counted * this->rate);
     this->filled = now;
--- a/src/store/token_bucket.hpp
+++ b/src/store/token_bucket.hpp
@@ -8,15 +8,15 @@
 namespace caperpath::store
 {
 
-/// Lets `rate` calls a second pass, and a burst of a quarter of that. Not
-/// thread safe.
+/// Admits `rate` calls per second and a burst of a quarter of that. Not thread
+/// safe.
 class token_bucket
 {
 public:
     /// @pre `rate` is at least 1. Starts full.
     token_bucket(std::int64_t rate, instant now);
 
-    /// Takes one call out; false when there is none left.
+    /// Takes one call from the bucket; returns false if there is none left.
     bool take(instant now);
 
 private:
--- a/src/store/vm_history.hpp
+++ b/src/store/vm_history.hpp
@@ -12,16 +12,16 @@
 namespace caperpath::store
 {
 
-/// The stand-in's VM list over time, so that it can be shown as it was. Keeps
-/// every change. Not thread safe.
+/// The emulator's VM list over time, so that an earlier state can be returned.
+/// Keeps every change. Not thread safe.
 class vm_history
 {
 public:
-    /// `vms` is the list of all times before the first change.
+    /// `vms` is the list before the first change.
     explicit vm_history(std::vector<listed_vm> vms);
 
-    /// From `now` on the list is without `vm`, and with `added` if there is
-    /// one. Returns whether `vm` was listed. @pre `now` never goes backwards.
+    /// Removes `vm` from the list as of `now` and adds `added` if given.
+    /// Returns whether `vm` was listed. @pre `now` never decreases.
     bool change(instant now, std::string const& vm,
                 std::optional<listed_vm> const& added);
 
--- a/src/store/wire_answer.cpp
+++ b/src/store/wire_answer.cpp
@@ -14,13 +14,13 @@
 using nlohmann::json;
 using faults_found = std::vector<config::fault>;
 
-// Kinds that a refusal can have; `timeout` and `internal` say nothing of the
-// effect and stay out.
-constexpr std::array refusal_kinds{error_kind::invalid, error_kind::not_found,
-                                   error_kind::conflict, error_kind::refused,
-                                   error_kind::unavailable};
+// The error kinds of a rejection; `timeout` and `internal` do not state whether
+// the call had an effect.
+constexpr std::array rejection_kinds{error_kind::invalid, error_kind::not_found,
+                                     error_kind::conflict, error_kind::refused,
+                                     error_kind::unavailable};
 
-std::string dump_answer(json const& value)
+std::string dump_response(json const& value)
 {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -61,7 +61,7 @@
     return rows;
 }
 
-std::vector<row> read_rows_answer(json const& value, faults_found& faults)
+std::vector<row> read_rows_response(json const& value, faults_found& faults)
 {
     json_reader reader{value, "", faults};
     if (!reader.has("rows"))
@@ -71,7 +71,7 @@
     return read_rows(reader, "rows", faults);
 }
 
-refusal read_refusal(json const& value, faults_found& faults)
+refusal read_rejection(json const& value, faults_found& faults)
 {
     json_reader reader{value, "", faults};
     refusal why;
@@ -81,7 +81,7 @@
     }
     auto const name = reader.text("kind");
     bool known = false;
-    for (auto const kind : refusal_kinds)
+    for (auto const kind : rejection_kinds)
     {
         if (to_string(kind) == name)
         {
@@ -142,12 +142,12 @@
 
 std::string encode_rows(std::vector<row> const& rows)
 {
-    return dump_answer({{"rows", to_json(rows)}});
+    return dump_response({{"rows", to_json(rows)}});
 }
 
 result<std::vector<row>> decode_rows(std::string const& body)
 {
-    return decode(body, read_rows_answer);
+    return decode(body, read_rows_response);
 }
 
 std::string encode_applied()
@@ -162,15 +162,15 @@
 
 std::string encode(refusal const& why)
 {
-    return dump_answer({{"effect", "none"},
-                        {"kind", to_string(why.kind)},
-                        {"detail", why.detail},
-                        {"failed", to_json(why.failed)}});
+    return dump_response({{"effect", "none"},
+                          {"kind", to_string(why.kind)},
+                          {"detail", why.detail},
+                          {"failed", to_json(why.failed)}});
 }
 
 result<refusal> decode_refusal(std::string const& body)
 {
-    return decode(body, read_refusal);
+    return decode(body, read_rejection);
 }
 
 std::string encode_vms(std::vector<listed_vm> const& vms)
@@ -180,7 +180,7 @@
     {
         list.push_back(to_json(listed));
     }
-    return dump_answer({{"vms", list}});
+    return dump_response({{"vms", list}});
 }
 
 result<std::vector<listed_vm>> decode_vms(std::string const& body)
--- a/src/store/wire_json.hpp
+++ b/src/store/wire_json.hpp
@@ -13,15 +13,15 @@
 namespace caperpath::store::wire
 {
 
-/// Reads a VM of the platform's list, in settings as on the wire; adds every
-/// fault. Thread safe.
+/// Reads a VM of the platform's list, from settings or from the wire; adds
+/// every fault. Thread safe.
 listed_vm read_vm(nlohmann::json const& value, std::string const& path,
                   std::vector<config::fault>& faults);
 
-/// A row's version, which fits a signed 64-bit number. Thread safe.
+/// Reads a row's version, which fits a signed 64-bit integer. Thread safe.
 std::uint64_t read_version(config::json_reader& reader);
 
-/// Parses `body` and reads it with `read`; fails as `invalid` with the path of
+/// Parses `body` and reads it with `read`; fails with `invalid` and the path of
 /// the first fault. Thread safe.
 template <class Value>
 result<Value> decode(std::string const& body,
--- a/src/store/wire_request.cpp
+++ b/src/store/wire_request.cpp
@@ -60,8 +60,8 @@
     json_reader reader{value, path, faults};
     row_write write;
     write.key = reader.text("key");
-    // A deletion is said in so many words: were it a missing value, a value
-    // lost on the way would delete the row.
+    // A deletion is explicit: if a missing value meant deletion, a value lost
+    // in transit would delete the row.
     if (reader.boolean_or("delete", false))
     {
         reader.finish();
@@ -121,7 +121,7 @@
     return wanted;
 }
 
-bool stays_plain(char letter)
+bool is_unreserved(char letter)
 {
     static std::string const plain{"-._~/"};
     return std::isalnum(static_cast<unsigned char>(letter)) != 0 ||
@@ -184,7 +184,7 @@
     std::string path{objects_path};
     for (auto const letter : name)
     {
-        if (stays_plain(letter))
+        if (is_unreserved(letter))
         {
             path += letter;
             continue;
--- a/tests/config/codec_test.cpp
+++ b/tests/config/codec_test.cpp
@@ -16,8 +16,8 @@
     CPPUNIT_TEST_SUITE(codec_test);
     CPPUNIT_TEST(reads_what_it_writes);
     CPPUNIT_TEST(names_every_fault_by_path);
-    CPPUNIT_TEST(a_key_that_stands_twice_is_a_fault);
-    CPPUNIT_TEST(a_patch_with_a_typing_error_is_a_fault);
+    CPPUNIT_TEST(a_duplicate_key_is_a_fault);
+    CPPUNIT_TEST(a_mistyped_patch_is_a_fault);
     CPPUNIT_TEST(changes_and_overlap);
     CPPUNIT_TEST(the_example_is_valid);
     CPPUNIT_TEST(finds_the_owner_of_a_key);
@@ -39,8 +39,8 @@
             }));
     }
 
-    // An operator sends a document with many mistakes. If only the first were
-    // named, each repair would cost another round and the change would be late.
+    // Guards against reporting only the first fault of a document: an operator
+    // with several mistakes would need one round trip per mistake.
     void names_every_fault_by_path()
     {
         auto const value = nlohmann::json::parse(R"({
@@ -90,7 +90,7 @@
         CPPUNIT_ASSERT_EQUAL(expected.size(), faults.size());
     }
 
-    void a_key_that_stands_twice_is_a_fault()
+    void a_duplicate_key_is_a_fault()
     {
         std::vector<fault> faults;
         parse_text(R"({"services": {"app": {"calls": [{}, [{"x": 1}],
@@ -101,9 +101,10 @@
         CPPUNIT_ASSERT(faults == expected);
     }
 
-    // The library asserts, in a release build does nothing, when a path goes
-    // through text. An operator would see a change accepted that was not made.
-    void a_patch_with_a_typing_error_is_a_fault()
+    // The library asserts, or does nothing in a release build, if a path goes
+    // through a string. An operator would see a change accepted that was not
+    // made.
+    void a_mistyped_patch_is_a_fault()
     {
         auto const base = nlohmann::json::parse(R"({"name": "x", "a": [1]})");
         auto const patch = nlohmann::json::parse(R"([
@@ -168,8 +169,8 @@
         CPPUNIT_ASSERT(owner == customer_id{"families"});
     }
 
-    // A key with one byte wrong, of another customer or cut short must open
-    // nothing; a customer would see another one's budget spent.
+    // A key that has one wrong byte, belongs to another customer or is
+    // truncated must not be accepted; it would spend another customer's budget.
     void finds_the_owner_of_a_key()
     {
         CPPUNIT_ASSERT(rc::check(
--- a/tests/config/document_strategy.hpp
+++ b/tests/config/document_strategy.hpp
@@ -11,7 +11,8 @@
 namespace caperpath::config
 {
 
-/// Any valid document: up to four of each kind, every reference resolved.
+/// Generates any valid document: up to four entries of each kind, with every
+/// reference resolved.
 inline document any_document()
 {
     auto const upto = [](int most)
--- a/tests/config/store_test.cpp
+++ b/tests/config/store_test.cpp
@@ -20,7 +20,8 @@
 constexpr int operators = 4;
 constexpr int patches = 50;
 
-// Each fault with the given chances in a hundred; one source a thread.
+// Injects each fault with the given probability in percent; use one source per
+// thread.
 auto faulty(std::uint32_t seed, int outage, int lost_call, int lost_answer)
 {
     auto random = std::make_shared<std::minstd_rand>(seed);
@@ -56,8 +57,8 @@
     return std::get<version_pointer>(read).version;
 }
 
-// Sends one patch as an operator does: after a conflict again upon the version
-// in force under a new id, after anything uncertain again under the same id.
+// Submits one patch as an operator does: after a conflict it retries on the
+// version in force under a new id, after an uncertain result under the same id.
 std::uint64_t submit_until_accepted(store::port const& faulty_port,
                                     std::string const& name)
 {
@@ -86,19 +87,20 @@
 class store_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(store_test);
-    CPPUNIT_TEST(racing_operators_lose_nothing);
-    CPPUNIT_TEST(any_sequence_under_faults_is_an_honest_history);
+    CPPUNIT_TEST(racing_operators_lose_no_patch);
+    CPPUNIT_TEST(history_is_consistent_under_faults);
     CPPUNIT_TEST(a_conflict_shows_what_changed);
-    CPPUNIT_TEST(a_commit_that_lands_late_is_not_lost);
+    CPPUNIT_TEST(a_late_commit_is_not_lost);
     CPPUNIT_TEST(an_invalid_patch_writes_nothing);
     CPPUNIT_TEST(rolls_forward_and_names);
-    CPPUNIT_TEST(a_damaged_object_is_refused);
+    CPPUNIT_TEST(a_damaged_object_is_rejected);
     CPPUNIT_TEST_SUITE_END();
 
-    // Four operators send 50 patches at once while the platform fails, drops
-    // calls and loses answers after the write. A lost patch or a number given
-    // twice would show as a customer who was created and does not exist.
-    void racing_operators_lose_nothing()
+    // Four operators submit 50 patches concurrently while the platform fails,
+    // drops calls and loses responses after the write. A lost patch or a
+    // version number assigned twice would mean an accepted change that does not
+    // exist.
+    void racing_operators_lose_no_patch()
     {
         auto const table = std::make_shared<store::memory_table>();
         std::vector<std::thread> threads;
@@ -142,10 +144,10 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{patches}, std::get<0>(history).size());
     }
 
-    // Whatever goes wrong, the version in force never falls, "accepted" names
-    // the version that holds the patch, a repeat of an accepted id gives the
-    // first result, and nothing takes effect that was called not accepted.
-    void any_sequence_under_faults_is_an_honest_history()
+    // Under any faults the version in force never decreases, "accepted" names
+    // the version that holds the patch, a retry of an accepted id returns the
+    // first result, and a patch reported as not accepted never takes effect.
+    void history_is_consistent_under_faults()
     {
         CPPUNIT_ASSERT(rc::check(
             []
@@ -214,26 +216,26 @@
         auto same = request(1, "d");
         same.patch = {{"budgets", {{"b", nullptr}}}};
         CPPUNIT_ASSERT(submit_patch(port, same).same_paths);
-        auto const repeat = submit_patch(port, request(2, "a"));
-        CPPUNIT_ASSERT(repeat.repeated);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, repeat.version);
+        auto const retry = submit_patch(port, request(2, "a"));
+        CPPUNIT_ASSERT(retry.repeated);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, retry.version);
         same.id = "a";
         CPPUNIT_ASSERT(submit_patch(port, same).status ==
                        patch_status::invalid);
     }
 
-    // A commit is held up on its way, the operator is told that the effect is
-    // unknown, and it lands afterwards. The repeat must return that result and
-    // not make a second version.
-    void a_commit_that_lands_late_is_not_lost()
+    // A commit is delayed, the operator is told that the effect is unknown, and
+    // the commit is applied afterwards. The retry must return that result
+    // instead of creating a second version.
+    void a_late_commit_is_not_lost()
     {
         auto const table = std::make_shared<store::memory_table>();
         auto const good = store::make_memory_port(table);
         auto held = good;
-        std::vector<store::transaction> on_the_way;
+        std::vector<store::transaction> in_flight;
         held.commit = [&](store::transaction const& txn)
         {
-            on_the_way.push_back(txn);
+            in_flight.push_back(txn);
             return store::commit_result{
                 store::commit_outcome::unknown,
                 {},
@@ -241,7 +243,7 @@
         };
         auto const first = submit_patch(held, request(0, "a"));
         CPPUNIT_ASSERT(first.status == patch_status::unknown);
-        for (auto const& txn : on_the_way)
+        for (auto const& txn : in_flight)
         {
             table->commit(txn);
         }
@@ -296,9 +298,9 @@
                        patch_status::invalid);
     }
 
-    // The store's answer is cut or altered on the way and still parses. A
-    // router that took it would turn away customers it no longer knows.
-    void a_damaged_object_is_refused()
+    // The store's response is truncated or altered in transit and still parses.
+    // A router that accepted it would reject customers missing from it.
+    void a_damaged_object_is_rejected()
     {
         auto const text = to_json(document{}).dump();
         auto const name = object_name(1, text);
--- a/tests/config/view_test.cpp
+++ b/tests/config/view_test.cpp
@@ -26,9 +26,9 @@
     CPPUNIT_TEST(keeps_serving_while_a_newer_one_loads);
     CPPUNIT_TEST_SUITE_END();
 
-    // Answers of the store and documents from peers arrive late, twice and out
-    // of order. A router that followed the last one would bring back a key that
-    // was withdrawn.
+    // Responses of the store and documents from peers arrive late, twice and
+    // out of order. A router that followed the latest one would reinstate a
+    // revoked key.
     void never_reverts_and_starts_with_the_newest()
     {
         CPPUNIT_ASSERT(rc::check(
@@ -61,8 +61,9 @@
             }));
     }
 
-    // The store names version 2 and then fails before its content is read. The
-    // router goes on under version 1; stopping would refuse every customer.
+    // The store reports version 2 and then fails before its content is read.
+    // The router must keep serving version 1; stopping would reject every
+    // customer.
     void keeps_serving_while_a_newer_one_loads()
     {
         auto now = with_document(with_store_version({}, 1), numbered(1));
--- a/tests/ctl/verbs_test.cpp
+++ b/tests/ctl/verbs_test.cpp
@@ -17,21 +17,22 @@
 namespace
 {
 
-struct answer
+struct run_result
 {
     int code{};
     json value;
 };
 
-// A site in memory: one table, routers and engines that record what they get.
-struct site
+// A simulated fake_site in memory: one table, and routers and engines that
+// record the calls they receive.
+struct fake_site
 {
     std::shared_ptr<store::memory_table> table{
         std::make_shared<store::memory_table>()};
     std::function<injected_fault(std::string const&)> fault;
     std::vector<std::string> calls;
     int engine_status{200};
-    std::uint8_t drawn{0};
+    std::uint8_t random_calls{0};
 
     store::port port()
     {
@@ -40,19 +41,19 @@
             { return this->fault ? this->fault(step) : injected_fault::none; });
     }
 
-    result<http_answer> call(std::string const& address,
-                             std::string const& path, std::string const& body)
+    result<http_response> call(std::string const& address,
+                               std::string const& path, std::string const& body)
     {
         this->calls.push_back(address + path + " " + body);
         if (path == "/healthz")
         {
-            return http_answer{
+            return http_response{
                 200, R"({"incarnation": "vm-1-7", "config_version": 1})"};
         }
-        return http_answer{this->engine_status, "{}"};
+        return http_response{this->engine_status, "{}"};
     }
 
-    answer run(std::vector<char const*> words)
+    run_result run(std::vector<char const*> words)
     {
         std::ostringstream out;
         std::ostringstream err;
@@ -64,9 +65,9 @@
                      { return this->call(address, path, body); },
                      [this](std::size_t size)
                      {
-                         ++this->drawn;
-                         return std::string(size,
-                                            static_cast<char>(this->drawn));
+                         ++this->random_calls;
+                         return std::string(
+                             size, static_cast<char>(this->random_calls));
                      },
                      caperpath::clock{[]
                                       {
@@ -101,17 +102,17 @@
     CPPUNIT_TEST_SUITE(verbs_test);
     CPPUNIT_TEST(creates_a_customer_with_a_key_that_works);
     CPPUNIT_TEST(a_payment_counts_once);
-    CPPUNIT_TEST(a_lost_payment_is_called_unknown);
-    CPPUNIT_TEST(swaps_policies_and_names_versions);
+    CPPUNIT_TEST(a_payment_with_lost_response_is_unknown);
+    CPPUNIT_TEST(changes_policies_and_names_versions);
     CPPUNIT_TEST(exit_codes);
-    CPPUNIT_TEST(orders_carry_growing_fencing_numbers);
-    CPPUNIT_TEST(drains_the_life_that_runs);
-    CPPUNIT_TEST(reports_what_is_stranded);
+    CPPUNIT_TEST(commands_carry_increasing_fencing_numbers);
+    CPPUNIT_TEST(drains_the_running_incarnation);
+    CPPUNIT_TEST(reports_stranded_tokens);
     CPPUNIT_TEST_SUITE_END();
 
     void creates_a_customer_with_a_key_that_works()
     {
-        site here;
+        fake_site here;
         here.prepare();
         here.run({"budget", "create", "kim"});
         auto const made =
@@ -133,11 +134,11 @@
             here.run({"customer", "create", "lee", "--budget", "none"}).code);
     }
 
-    // The answer to a top-up is lost and the operator sends it again. A second
-    // credit would let the customer spend what nobody paid.
+    // The response to a top-up is lost and the operator retries it. A second
+    // credit would let the customer spend tokens that were not paid.
     void a_payment_counts_once()
     {
-        site here;
+        fake_site here;
         here.prepare();
         for (int i = 0; i < 2; ++i)
         {
@@ -158,11 +159,12 @@
         CPPUNIT_ASSERT_EQUAL(500, shown.value["not_granted"].get<int>());
     }
 
-    // A top-up takes effect, its answer is lost, and then the store goes down.
-    // Told "nothing took effect", the operator would book it under a new id.
-    void a_lost_payment_is_called_unknown()
+    // A top-up takes effect, its response is lost, and then the store fails.
+    // After "nothing took effect" the operator would submit it again under a
+    // new id.
+    void a_payment_with_lost_response_is_unknown()
     {
-        site here;
+        fake_site here;
         here.prepare();
         bool down = false;
         here.fault = [&](std::string const& step)
@@ -179,9 +181,9 @@
                                  .code);
     }
 
-    void swaps_policies_and_names_versions()
+    void changes_policies_and_names_versions()
     {
-        site here;
+        fake_site here;
         here.prepare();
         auto const set = here.run({"policy", "set", "power_of_two"});
         CPPUNIT_ASSERT_EQUAL(2, set.value["version"].get<int>());
@@ -209,7 +211,7 @@
 
     void exit_codes()
     {
-        site here;
+        fake_site here;
         here.prepare();
         auto const file = CAPERPATH_SOURCE_DIR "/examples/configuration.json";
         auto const late = here.run({"config", "patch", file, "--base", "0"});
@@ -236,11 +238,12 @@
         CPPUNIT_ASSERT_EQUAL(before, here.rows());
     }
 
-    // Two operators order one engine. The older order may arrive last; its
-    // number must be smaller, so that an engine that checks can refuse it.
-    void orders_carry_growing_fencing_numbers()
+    // Two operators send commands to one engine. The older command may arrive
+    // last; its number must be smaller, so that an engine that checks can
+    // reject it.
+    void commands_carry_increasing_fencing_numbers()
     {
-        site here;
+        fake_site here;
         here.prepare();
         here.run({"engine", "load-model", "asistente-1", "asistente"});
         here.run({"engine", "leave", "asistente-1"});
@@ -258,9 +261,9 @@
             here.run({"engine", "set-role", "asistente-2", "prefill"}).code);
     }
 
-    void drains_the_life_that_runs()
+    void drains_the_running_incarnation()
     {
-        site here;
+        fake_site here;
         here.table->set_vms(
             {{"vm-1", "vm-1-6", "127.0.0.1:2", "mapo", "live"}});
         CPPUNIT_ASSERT_EQUAL(0, here.run({"drain", "vm-1"}).code);
@@ -270,9 +273,9 @@
                              here.run({"drain", "vm-2"}).code);
     }
 
-    void reports_what_is_stranded()
+    void reports_stranded_tokens()
     {
-        site here;
+        fake_site here;
         here.prepare();
         here.run({"budget", "top-up", "b", "1", "--id", "x"});
         here.table->commit(
--- a/tests/store/fake_platform.hpp
+++ b/tests/store/fake_platform.hpp
@@ -15,7 +15,7 @@
 namespace caperpath::store
 {
 
-// A stand-in on a free port with a clock that the test moves.
+// A platform emulator on a free port with a clock that the test controls.
 class fake_platform
 {
 public:
@@ -43,8 +43,9 @@
 
     int post(std::string const& path, nlohmann::json const& body) const
     {
-        auto const answer = this->client().Post(path, body.dump(), "text/json");
-        return answer ? answer->status : -1;
+        auto const response =
+            this->client().Post(path, body.dump(), "text/json");
+        return response ? response->status : -1;
     }
 
     nlohmann::json stats() const
--- a/tests/store/http_port_test.cpp
+++ b/tests/store/http_port_test.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-// Long enough for an exchange over loopback on a busy machine; one test waits
-// for it once.
+// Long enough for an exchange over loopback on a loaded machine; one test waits
+// for this timeout once.
 constexpr duration short_timeout{2'000};
 
 void assert_fault(error const& fault, error_kind kind, std::string const& step,
@@ -50,16 +50,16 @@
     CPPUNIT_TEST_SUITE(http_port_test);
     CPPUNIT_TEST(applies_reads_and_scans);
     CPPUNIT_TEST(a_failed_condition_shows_the_row);
-    CPPUNIT_TEST(a_lost_answer_is_unknown_and_sent_once);
-    CPPUNIT_TEST(a_silent_connection_is_unknown_and_left);
-    CPPUNIT_TEST(an_error_that_says_nothing_is_unknown);
-    CPPUNIT_TEST(a_foreign_answer_is_unknown);
-    CPPUNIT_TEST(a_truncated_answer_is_unknown);
-    CPPUNIT_TEST(a_trickled_answer_is_unknown);
-    CPPUNIT_TEST(past_the_rate_limit_is_refused);
-    CPPUNIT_TEST(an_outage_is_refused_until_it_ends);
-    CPPUNIT_TEST(a_stopped_platform_is_refused);
-    CPPUNIT_TEST(what_cannot_be_sent_is_refused);
+    CPPUNIT_TEST(a_lost_response_is_unknown_and_sent_once);
+    CPPUNIT_TEST(a_silent_connection_is_unknown_and_dropped);
+    CPPUNIT_TEST(an_error_without_a_body_is_unknown);
+    CPPUNIT_TEST(a_response_of_a_balancer_is_unknown);
+    CPPUNIT_TEST(a_truncated_response_is_unknown);
+    CPPUNIT_TEST(a_slow_response_is_unknown);
+    CPPUNIT_TEST(a_write_over_the_rate_limit_is_rejected);
+    CPPUNIT_TEST(an_outage_rejects_until_it_ends);
+    CPPUNIT_TEST(a_stopped_platform_rejects);
+    CPPUNIT_TEST(an_unencodable_key_is_rejected);
     CPPUNIT_TEST(objects_keep_name_and_content);
     CPPUNIT_TEST(concurrent_writers_lose_no_update);
     CPPUNIT_TEST_SUITE_END();
@@ -95,10 +95,10 @@
         CPPUNIT_ASSERT(second.failed == (std::vector<row>{{"a", 1, "1"}}));
     }
 
-    // The platform writes a bill and its answer is lost on a connection that
-    // had worked before. A client that sends it again by itself, or calls it
-    // refused, has the customer billed twice: the row would reach version 2.
-    void a_lost_answer_is_unknown_and_sent_once()
+    // The platform writes a bill and its response is lost on a connection that
+    // worked before. A client that retries by itself, or reports a rejection,
+    // would bill the customer twice: the row would reach version 2.
+    void a_lost_response_is_unknown_and_sent_once()
     {
         fake_platform const platform;
         auto const connected = platform.connect();
@@ -111,10 +111,10 @@
                        (std::vector<row>{{"bill", 1, "7"}}));
     }
 
-    // Something on the way forgets a connection: calls on it get no answer for
-    // good while new connections work. A client that kept using it would fail
-    // every call from then on; the next one must go through.
-    void a_silent_connection_is_unknown_and_left()
+    // A device on the path drops a connection's state: calls on it get no
+    // response, while new connections work. A client that kept using it would
+    // fail every later call; the next one must succeed.
+    void a_silent_connection_is_unknown_and_dropped()
     {
         fake_platform const platform;
         auto const connected = platform.connect(short_timeout);
@@ -126,7 +126,7 @@
         CPPUNIT_ASSERT(is_applied(platform.connect().commit(insert("a", "1"))));
     }
 
-    void an_error_that_says_nothing_is_unknown()
+    void an_error_without_a_body_is_unknown()
     {
         fake_platform const platform;
         auto const connected = platform.connect();
@@ -139,35 +139,35 @@
                      platform.address);
     }
 
-    // The platform dies after a write and its balancer answers in its place, be
-    // it 503 or a page with 200. Taken for a refusal, the bill is written a
-    // second time; taken for a success, it may not be there at all.
-    void a_foreign_answer_is_unknown()
+    // The platform dies after a write and its balancer responds instead, with
+    // 503 or a page with 200. Taken as a rejection, the bill is written twice;
+    // taken as a success, it may not have been written.
+    void a_response_of_a_balancer_is_unknown()
     {
         for (auto const status : {503, 200})
         {
             http::server balancer;
             balancer.Post(
                 wire::commit_path,
-                [status](httplib::Request const&, httplib::Response& answer)
+                [status](httplib::Request const&, httplib::Response& response)
                 {
-                    answer.status = status;
-                    answer.set_content("upstream gone", "text/plain");
+                    response.status = status;
+                    response.set_content("upstream gone", "text/plain");
                 });
             assert_unknown_from(balancer);
         }
     }
 
-    // The connection breaks inside a good answer. Half an answer is none: only
-    // the whole text proves that the write took effect.
-    void a_truncated_answer_is_unknown()
+    // The connection breaks inside a successful response. Only the complete
+    // text proves that the write took effect.
+    void a_truncated_response_is_unknown()
     {
         http::server broken;
         broken.Post(wire::commit_path,
-                    [](httplib::Request const&, httplib::Response& answer)
+                    [](httplib::Request const&, httplib::Response& response)
                     {
                         auto const whole = wire::encode_applied();
-                        answer.set_content_provider(
+                        response.set_content_provider(
                             whole.size() + 1, "application/json",
                             [whole](std::size_t offset, std::size_t,
                                     httplib::DataSink& sink) {
@@ -178,17 +178,18 @@
         assert_unknown_from(broken);
     }
 
-    // A broken peer sends its answer byte by byte, each just in time. Without a
-    // bound on the whole, a settlement would hold its caller for as long as the
-    // peer likes; here the whole answer would come after two seconds.
-    void a_trickled_answer_is_unknown()
+    // A faulty peer sends its response byte by byte, each within the read
+    // timeout. Without a bound on the whole exchange, a settlement could block
+    // its caller indefinitely; here the complete response would take two
+    // seconds.
+    void a_slow_response_is_unknown()
     {
         http::server slow;
         slow.Post(wire::commit_path,
-                  [](httplib::Request const&, httplib::Response& answer)
+                  [](httplib::Request const&, httplib::Response& response)
                   {
                       auto const whole = wire::encode_applied();
-                      answer.set_content_provider(
+                      response.set_content_provider(
                           whole.size(), "application/json",
                           [whole](std::size_t offset, std::size_t,
                                   httplib::DataSink& sink)
@@ -213,9 +214,9 @@
                            options.address);
     }
 
-    // More writes arrive than the platform takes. They are turned away before
-    // they have an effect, so the caller may safely send them again later.
-    void past_the_rate_limit_is_refused()
+    // More writes arrive than the platform's rate limit allows. They are
+    // rejected without effect, so the caller may safely retry them later.
+    void a_write_over_the_rate_limit_is_rejected()
     {
         stand_in_settings settings;
         settings.writes_per_second = 4; // a burst of one write
@@ -231,7 +232,7 @@
         CPPUNIT_ASSERT_EQUAL(1, platform.stats()["refused_by_rate"].get<int>());
     }
 
-    void an_outage_is_refused_until_it_ends()
+    void an_outage_rejects_until_it_ends()
     {
         fake_platform platform;
         auto const connected = platform.connect();
@@ -247,9 +248,9 @@
     }
 
     // The platform stops while the client holds an idle connection to it. The
-    // next write must not be sent into that connection and then be called
-    // unknown: nothing was sent, and a router may try it elsewhere or later.
-    void a_stopped_platform_is_refused()
+    // next write must not be sent on that connection and reported as unknown:
+    // nothing was sent, so a router may retry it elsewhere or later.
+    void a_stopped_platform_rejects()
     {
         fake_platform platform;
         auto const connected = platform.connect();
@@ -264,9 +265,9 @@
                      "get object", platform.address);
     }
 
-    // A caller's header ends up in a key and holds bytes that JSON cannot
-    // carry. The router must get an answer, not an exception that ends it.
-    void what_cannot_be_sent_is_refused()
+    // A caller's header ends up in a key and contains bytes that JSON cannot
+    // encode. The router must get an error, not an exception that ends it.
+    void an_unencodable_key_is_rejected()
     {
         fake_platform const platform;
         auto const connected = platform.connect();
@@ -301,8 +302,8 @@
                      "get object", platform.address);
     }
 
-    // Routers draw on one budget at once over one client. An update that is
-    // lost or doubled shows as a sum other than the number of draws.
+    // Routers draw from one budget concurrently over one client. A lost or
+    // duplicated update would give a sum other than the number of draws.
     void concurrent_writers_lose_no_update()
     {
         constexpr int writers = 8;
--- a/tests/store/memory_table_test.cpp
+++ b/tests/store/memory_table_test.cpp
@@ -7,14 +7,14 @@
 class memory_table_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(memory_table_test);
-    CPPUNIT_TEST(a_lost_answer_took_effect);
+    CPPUNIT_TEST(a_write_with_lost_response_takes_effect);
     CPPUNIT_TEST(all_writes_or_none);
     CPPUNIT_TEST(a_deleted_row_does_not_reuse_its_version);
     CPPUNIT_TEST_SUITE_END();
 
-    // The platform applies a write and its answer is lost on the way back. The
-    // caller must learn "unknown"; told "refused" it would write a second time.
-    void a_lost_answer_took_effect()
+    // The platform applies a write and the response is lost. The caller must
+    // get "unknown"; after "refused" it would write a second time.
+    void a_write_with_lost_response_takes_effect()
     {
         auto const table = std::make_shared<memory_table>();
         auto const lossy =
--- a/tests/store/stand_in_test.cpp
+++ b/tests/store/stand_in_test.cpp
@@ -23,11 +23,11 @@
 {
     CPPUNIT_TEST_SUITE(stand_in_test);
     CPPUNIT_TEST(the_vm_list_lags);
-    CPPUNIT_TEST(the_example_settings_are_good);
+    CPPUNIT_TEST(the_example_settings_are_valid);
     CPPUNIT_TEST_SUITE_END();
 
-    // A VM is destroyed and its replacement appears, but the list shows it
-    // seconds later; a router must not take the list for the present.
+    // A VM is destroyed and replaced, but the list shows it seconds later; a
+    // router must not treat the list as current.
     void the_vm_list_lags()
     {
         stand_in_settings settings;
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, listed(connected));
     }
 
-    void the_example_settings_are_good()
+    void the_example_settings_are_valid()
     {
         std::ifstream file{CAPERPATH_SOURCE_DIR "/examples/platform.json"};
         std::vector<config::fault> faults;
--- a/tests/store/wire_test.cpp
+++ b/tests/store/wire_test.cpp
@@ -11,7 +11,7 @@
 namespace rc
 {
 
-// Any UTF-8 text, with what JSON escapes among it.
+// Generates any UTF-8 text, including characters that JSON escapes.
 Gen<std::string> text()
 {
     auto const piece = gen::element<std::string>(
@@ -74,8 +74,8 @@
     CPPUNIT_TEST_SUITE(wire_test);
     CPPUNIT_TEST(a_transaction_arrives_as_sent);
     CPPUNIT_TEST(a_lost_value_is_not_a_deletion);
-    CPPUNIT_TEST(only_the_platforms_word_is_a_refusal);
-    CPPUNIT_TEST(more_keys_than_a_read_may_have_are_refused);
+    CPPUNIT_TEST(only_a_platform_body_is_a_rejection);
+    CPPUNIT_TEST(too_many_keys_in_a_read_are_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     template <class Outcome>
@@ -100,8 +100,9 @@
         CPPUNIT_ASSERT(holds);
     }
 
-    // A client's bug drops the value of a write. Read as a deletion it would
-    // remove a budget's row, and every request of that customer be refused.
+    // A client bug drops the value of a write. Read as a deletion, it would
+    // remove a budget's row, and every request of that customer would be
+    // rejected.
     void a_lost_value_is_not_a_deletion()
     {
         auto const decoded = value_or_error(
@@ -112,9 +113,10 @@
                              std::get<error>(decoded).detail);
     }
 
-    // A balancer in front of the platform answers 503 in its own words. Taken
-    // for the platform's refusal, a bill that was written is written again.
-    void only_the_platforms_word_is_a_refusal()
+    // A balancer in front of the platform responds 503 with its own body. If
+    // that counted as a rejection by the platform, a written bill would be
+    // written again.
+    void only_a_platform_body_is_a_rejection()
     {
         wire::refusal const why{error_kind::conflict, "a", {{"a", 3, "1"}}};
         auto const decoded = value_or_error(
@@ -131,7 +133,7 @@
         }
     }
 
-    void more_keys_than_a_read_may_have_are_refused()
+    void too_many_keys_in_a_read_are_rejected()
     {
         std::vector<std::string> keys(wire::max_read_keys + 1, "a");
         auto const body = std::get<std::string>(
--- a/tools/ctl/main.cpp
+++ b/tools/ctl/main.cpp
@@ -19,7 +19,7 @@
     auto* const target = reinterpret_cast<unsigned char*>(bytes.data());
     if (RAND_bytes(target, static_cast<int>(size)) != 1)
     {
-        throw std::runtime_error{"no random bytes can be had"};
+        throw std::runtime_error{"cannot generate random bytes"};
     }
     return bytes;
 }
--- a/tools/platform/main.cpp
+++ b/tools/platform/main.cpp
@@ -35,6 +35,6 @@
 {
     return observe::run_program<store::stand_in_settings>(
         {"caperpath-platform",
-         "Stand-in of the platform: table, objects and VM list in memory."},
+         "Emulator of the platform: table, objects and VM list in memory."},
         argc, argv, store::read_stand_in_settings, serve);
 }
