--- a/src/config/submit_commit.cpp
+++ b/src/config/submit_commit.cpp
@@ -162,7 +162,7 @@
         });
     if (auto const* problem = std::get_if<error>(&both))
     {
-        // The conflict is certain; only what changed cannot be told now.
+        // The conflict is certain; only the changes could not be read.
         made.problem = *problem;
         return made;
     }
--- a/src/ctl/engine.cpp
+++ b/src/ctl/engine.cpp
@@ -154,9 +154,9 @@
     }
     auto const number = std::get<std::int64_t>(sent);
     auto const* const fenced =
-        server.checks_fencing ? "a late older command is rejected"
+        server.checks_fencing ? "an older order that arrives late is refused"
                               : "this engine does not check fencing numbers: "
-                                "a late older command is executed";
+                                "an older order that arrives late is obeyed";
     print(run,
           {{"engine", options.engine},
            {"order", wanted.kind},
--- a/src/ctl/report.cpp
+++ b/src/ctl/report.cpp
@@ -193,7 +193,7 @@
     }
     for (auto const& address : unreachable)
     {
-        table.push_back({"not counted, no response:", address});
+        table.push_back({"not counted, no answer:", address});
     }
     return table;
 }
