--- a/bench/configuration_size.cpp
+++ b/bench/configuration_size.cpp
@@ -1,6 +1,6 @@
 #include "gateway/fake_server.hpp"
-#include "gateway/http_call.hpp"
-#include "platform/dialect.hpp"
+#include "gateway/http_client.hpp"
+#include "platform/protocol_adapter.hpp"
 #include "platform/store_port.hpp"
 
 #include <caperpath/fleet/site.hpp>
--- a/include/caperpath/fleet/roster.hpp
+++ b/include/caperpath/fleet/membership.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_FLEET_ROSTER_HPP
-#define CAPERPATH_FLEET_ROSTER_HPP
+#ifndef CAPERPATH_FLEET_MEMBERSHIP_HPP
+#define CAPERPATH_FLEET_MEMBERSHIP_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/base/id.hpp>
--- a/include/caperpath/fleet/slack_share.hpp
+++ b/include/caperpath/fleet/retry_allowance.hpp
@@ -1,9 +1,9 @@
-#ifndef CAPERPATH_FLEET_SLACK_SHARE_HPP
-#define CAPERPATH_FLEET_SLACK_SHARE_HPP
+#ifndef CAPERPATH_FLEET_RETRY_ALLOWANCE_HPP
+#define CAPERPATH_FLEET_RETRY_ALLOWANCE_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/base/id.hpp>
-#include <caperpath/fleet/roster.hpp>
+#include <caperpath/fleet/membership.hpp>
 
 #include <cstdint>
 #include <optional>
--- a/include/caperpath/fleet/own_link.hpp
+++ b/include/caperpath/fleet/uplink.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_FLEET_OWN_LINK_HPP
-#define CAPERPATH_FLEET_OWN_LINK_HPP
+#ifndef CAPERPATH_FLEET_UPLINK_HPP
+#define CAPERPATH_FLEET_UPLINK_HPP
 
 #include <caperpath/base/clock.hpp>
 
--- a/include/caperpath/request/claim_run.hpp
+++ b/include/caperpath/request/claim_store.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_REQUEST_CLAIM_RUN_HPP
-#define CAPERPATH_REQUEST_CLAIM_RUN_HPP
+#ifndef CAPERPATH_REQUEST_CLAIM_STORE_HPP
+#define CAPERPATH_REQUEST_CLAIM_STORE_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/request/claim_state.hpp>
--- a/include/caperpath/request/answer.hpp
+++ b/include/caperpath/request/response.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_REQUEST_ANSWER_HPP
-#define CAPERPATH_REQUEST_ANSWER_HPP
+#ifndef CAPERPATH_REQUEST_RESPONSE_HPP
+#define CAPERPATH_REQUEST_RESPONSE_HPP
 
 #include <caperpath/base/id.hpp>
 #include <caperpath/request/pricing.hpp>
--- a/src/base/call_patience.cpp
+++ b/src/base/adaptive_timeout.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/base/call_patience.hpp>
+#include <caperpath/base/adaptive_timeout.hpp>
 
 #include <algorithm>
 
--- a/src/base/follow_pace.cpp
+++ b/src/base/follow_backoff.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/base/follow_pace.hpp>
+#include <caperpath/base/follow_backoff.hpp>
 
 #include <algorithm>
 
--- a/src/base/transfer_watch.cpp
+++ b/src/base/stall_detector.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/base/transfer_watch.hpp>
+#include <caperpath/base/stall_detector.hpp>
 
 namespace caperpath
 {
--- a/src/budget/answered.cpp
+++ b/src/budget/kept_bills.cpp
@@ -1,4 +1,4 @@
-#include "answered.hpp"
+#include "kept_bills.hpp"
 
 #include "row_access.hpp"
 
--- a/src/budget/answered.hpp
+++ b/src/budget/kept_bills.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_BUDGET_ANSWERED_HPP
-#define CAPERPATH_SRC_BUDGET_ANSWERED_HPP
+#ifndef CAPERPATH_SRC_BUDGET_KEPT_BILLS_HPP
+#define CAPERPATH_SRC_BUDGET_KEPT_BILLS_HPP
 
 #include <caperpath/base/error.hpp>
 #include <caperpath/base/id.hpp>
--- a/src/budget/recovery.cpp
+++ b/src/budget/recovery.cpp
@@ -1,6 +1,6 @@
 #include <caperpath/budget/recovery.hpp>
 
-#include "answered.hpp"
+#include "kept_bills.hpp"
 #include "row_access.hpp"
 
 #include <algorithm>
--- a/src/config/view.cpp
+++ b/src/config/configuration_state.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/config/view.hpp>
+#include <caperpath/config/configuration_state.hpp>
 
 #include <algorithm>
 
--- a/src/controllers/backend_controller.cpp
+++ b/src/controllers/backend_controller.cpp
@@ -1,6 +1,6 @@
 #include <caperpath/controllers/backend_controller.hpp>
 
-#include "controllers/ask.hpp"
+#include "controllers/request_reply.hpp"
 
 #include <caperpath/routing/policy.hpp>
 
--- a/src/controllers/claim_actor.hpp
+++ b/src/controllers/claim_actor.hpp
@@ -4,7 +4,7 @@
 #include "budget_messages.hpp"
 
 #include <caperpath/controllers/claim_controller.hpp>
-#include <caperpath/request/claim_run.hpp>
+#include <caperpath/request/claim_store.hpp>
 
 #include <caf/all.hpp>
 
--- a/src/controllers/config_controller.cpp
+++ b/src/controllers/config_controller.cpp
@@ -1,7 +1,7 @@
 #include <caperpath/controllers/config_controller.hpp>
 
+#include <caperpath/config/configuration_state.hpp>
 #include <caperpath/config/store.hpp>
-#include <caperpath/config/view.hpp>
 
 #include <caf/all.hpp>
 #include <glog/logging.h>
--- a/src/controllers/limit_controller.cpp
+++ b/src/controllers/limit_controller.cpp
@@ -1,6 +1,6 @@
 #include <caperpath/controllers/limit_controller.hpp>
 
-#include "controllers/ask.hpp"
+#include "controllers/request_reply.hpp"
 
 #include <caf/event_based_actor.hpp>
 #include <caf/stateful_actor.hpp>
--- a/src/ctl/http_client.hpp
+++ b/src/ctl/http_client.hpp
@@ -6,7 +6,7 @@
 namespace caperpath::ctl
 {
 
-/// An `http_call` over cpp-httplib with timeouts. Blocks; thread safe. @pre
+/// An `http_client` over cpp-httplib with timeouts. Blocks; thread safe. @pre
 /// `config::is_address(address)`.
 result<http_response> call_http(std::string const& address,
                                 std::string const& path,
--- a/src/filters/account.cpp
+++ b/src/filters/account.cpp
@@ -1,4 +1,4 @@
-#include "filters/steps.hpp"
+#include "filters/request_filters.hpp"
 
 #include <caperpath/base/http_status.hpp>
 #include <caperpath/observe/log.hpp>
--- a/src/filters/dispatch.cpp
+++ b/src/filters/dispatch.cpp
@@ -1,4 +1,4 @@
-#include "filters/steps.hpp"
+#include "filters/request_filters.hpp"
 
 #include "router/chat_relay.hpp"
 #include "router/service_call.hpp"
--- a/src/filters/drain.cpp
+++ b/src/filters/drain.cpp
@@ -1,4 +1,4 @@
-#include "filters/steps.hpp"
+#include "filters/request_filters.hpp"
 
 namespace caperpath::filters
 {
--- a/src/fleet/event_scan.cpp
+++ b/src/fleet/event_splitter.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/fleet/event_scan.hpp>
+#include <caperpath/fleet/event_splitter.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/src/fleet/roster.cpp
+++ b/src/fleet/membership.cpp
@@ -1,5 +1,5 @@
+#include <caperpath/fleet/membership.hpp>
 #include <caperpath/fleet/placement.hpp>
-#include <caperpath/fleet/roster.hpp>
 
 #include <algorithm>
 #include <set>
--- a/src/fleet/slack_share.cpp
+++ b/src/fleet/retry_allowance.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/fleet/slack_share.hpp>
+#include <caperpath/fleet/retry_allowance.hpp>
 
 #include <algorithm>
 
--- a/src/fleet/own_link.cpp
+++ b/src/fleet/uplink.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/fleet/own_link.hpp>
+#include <caperpath/fleet/uplink.hpp>
 
 #include <algorithm>
 
--- a/src/gateway/budget_deal.cpp
+++ b/src/gateway/budget_share_allocation.cpp
@@ -1,9 +1,9 @@
-#include "gateway/budget_book.hpp"
+#include "gateway/budget_share_manager.hpp"
 #include "gateway/share_sizes.hpp"
 
 #include <caperpath/budget/rows.hpp>
+#include <caperpath/fleet/membership.hpp>
 #include <caperpath/fleet/placement.hpp>
-#include <caperpath/fleet/roster.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/budget_peers.cpp
+++ b/src/gateway/budget_share_exchange.cpp
@@ -1,4 +1,4 @@
-#include "gateway/budget_book.hpp"
+#include "gateway/budget_share_manager.hpp"
 
 #include <algorithm>
 #include <string>
--- a/src/gateway/budget_book.cpp
+++ b/src/gateway/budget_share_manager.cpp
@@ -1,6 +1,6 @@
-#include "gateway/budget_book.hpp"
+#include "gateway/budget_share_manager.hpp"
 
-#include "gateway/call_after.hpp"
+#include "gateway/run_after.hpp"
 #include "gateway/share_sizes.hpp"
 
 #include <caperpath/budget/rows.hpp>
--- a/src/gateway/budget_book.hpp
+++ b/src/gateway/budget_share_manager.hpp
@@ -1,8 +1,8 @@
-#ifndef CAPERPATH_SRC_GATEWAY_BUDGET_BOOK_HPP
-#define CAPERPATH_SRC_GATEWAY_BUDGET_BOOK_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_BUDGET_SHARE_MANAGER_HPP
+#define CAPERPATH_SRC_GATEWAY_BUDGET_SHARE_MANAGER_HPP
 
 #include "gateway/decision_log.hpp"
-#include "gateway/spend_keeper.hpp"
+#include "gateway/spend_row_writer.hpp"
 #include "gateway/table_follower.hpp"
 #include "gateway/token_exchange.hpp"
 
--- a/src/gateway/core.hpp
+++ b/src/gateway/core.hpp
@@ -1,27 +1,27 @@
 #ifndef CAPERPATH_SRC_GATEWAY_CORE_HPP
 #define CAPERPATH_SRC_GATEWAY_CORE_HPP
 
-#include "gateway/budget_book.hpp"
+#include "gateway/budget_share_manager.hpp"
 #include "gateway/connection.hpp"
 #include "gateway/crash_check.hpp"
-#include "gateway/crash_keeper.hpp"
+#include "gateway/crash_tracker.hpp"
 #include "gateway/decision_log.hpp"
-#include "gateway/dialect.hpp"
 #include "gateway/gateway_metrics.hpp"
-#include "gateway/peer_link.hpp"
-#include "gateway/roster_keeper.hpp"
+#include "gateway/membership_tracker.hpp"
+#include "gateway/peer_socket.hpp"
+#include "gateway/protocol_adapter.hpp"
 #include "gateway/server_pool.hpp"
 #include "gateway/settings.hpp"
 #include "gateway/waker.hpp"
 
 #include <caperpath/base/clock.hpp>
-#include <caperpath/fleet/own_link.hpp>
 #include <caperpath/fleet/placement.hpp>
 #include <caperpath/fleet/retry_window.hpp>
 #include <caperpath/fleet/server_table.hpp>
 #include <caperpath/fleet/service_times.hpp>
 #include <caperpath/fleet/shutdown.hpp>
 #include <caperpath/fleet/site.hpp>
+#include <caperpath/fleet/uplink.hpp>
 
 #include <cstdint>
 #include <map>
--- a/src/gateway/crash_check.cpp
+++ b/src/gateway/crash_check.cpp
@@ -1,6 +1,6 @@
 #include "gateway/crash_check.hpp"
 
-#include "gateway/http_call.hpp"
+#include "gateway/http_client.hpp"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
--- a/src/gateway/crash_step.cpp
+++ b/src/gateway/crash_handling.cpp
@@ -1,4 +1,4 @@
-#include "gateway/crash_step.hpp"
+#include "gateway/crash_handling.hpp"
 
 #include <caperpath/base/http_status.hpp>
 
--- a/src/gateway/crash_keeper.cpp
+++ b/src/gateway/crash_tracker.cpp
@@ -1,9 +1,9 @@
-#include "gateway/crash_keeper.hpp"
+#include "gateway/crash_tracker.hpp"
 
-#include "gateway/call_after.hpp"
 #include "gateway/crash_rows.hpp"
+#include "gateway/run_after.hpp"
 
-#include <caperpath/base/follow_pace.hpp>
+#include <caperpath/base/follow_backoff.hpp>
 
 #include <algorithm>
 #include <optional>
--- a/src/gateway/crash_keeper.hpp
+++ b/src/gateway/crash_tracker.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_GATEWAY_CRASH_KEEPER_HPP
-#define CAPERPATH_SRC_GATEWAY_CRASH_KEEPER_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_CRASH_TRACKER_HPP
+#define CAPERPATH_SRC_GATEWAY_CRASH_TRACKER_HPP
 
 #include "gateway/decision_log.hpp"
 #include "gateway/table_follower.hpp"
--- a/src/gateway/decision_log.cpp
+++ b/src/gateway/decision_log.cpp
@@ -1,6 +1,6 @@
 #include "gateway/decision_log.hpp"
 
-#include "gateway/call_after.hpp"
+#include "gateway/run_after.hpp"
 
 #include <caperpath/observe/log.hpp>
 
--- a/src/gateway/dispatch.cpp
+++ b/src/gateway/dispatch.cpp
@@ -1,4 +1,4 @@
-#include "gateway/crash_step.hpp"
+#include "gateway/crash_handling.hpp"
 #include "gateway/exchange.hpp"
 #include "gateway/server_call.hpp"
 
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -1,6 +1,6 @@
 #include "gateway/exchange.hpp"
 
-#include "gateway/crash_step.hpp"
+#include "gateway/crash_handling.hpp"
 #include "gateway/head_text.hpp"
 
 #include <caperpath/base/http_status.hpp>
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -6,7 +6,7 @@
 
 #include <caperpath/fleet/attempt.hpp>
 #include <caperpath/fleet/crash_record.hpp>
-#include <caperpath/fleet/event_scan.hpp>
+#include <caperpath/fleet/event_splitter.hpp>
 #include <caperpath/fleet/placement.hpp>
 
 #include <boost/beast/http/message.hpp>
@@ -71,7 +71,7 @@
 
     fleet::attempt_state attempts;
     std::vector<backend_server_id> tried;
-    /// Computed on first use; see `crash_step.hpp`.
+    /// Computed on first use; see `crash_handling.hpp`.
     std::optional<fleet::fingerprint> fingerprint;
     fleet::crash_evidence evidence; ///< as known at the latest send
     bool on_probation{false}; ///< holds the probation slot of its fingerprint
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,8 +1,8 @@
 #include "gateway/gateway.hpp"
 
-#include "gateway/call_after.hpp"
 #include "gateway/exchange.hpp"
-#include "gateway/http_call.hpp"
+#include "gateway/http_client.hpp"
+#include "gateway/run_after.hpp"
 #include "gateway/session.hpp"
 
 #include <caperpath/base/http_status.hpp>
--- a/src/gateway/http_call.cpp
+++ b/src/gateway/http_client.cpp
@@ -1,8 +1,8 @@
-#include "gateway/http_call.hpp"
+#include "gateway/http_client.hpp"
 
-#include "gateway/call_after.hpp"
+#include "gateway/run_after.hpp"
 
-#include <caperpath/base/transfer_watch.hpp>
+#include <caperpath/base/stall_detector.hpp>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
--- a/src/gateway/http_call.hpp
+++ b/src/gateway/http_client.hpp
@@ -1,7 +1,7 @@
-#ifndef CAPERPATH_SRC_GATEWAY_HTTP_CALL_HPP
-#define CAPERPATH_SRC_GATEWAY_HTTP_CALL_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_HTTP_CLIENT_HPP
+#define CAPERPATH_SRC_GATEWAY_HTTP_CLIENT_HPP
 
-#include <caperpath/base/call_patience.hpp>
+#include <caperpath/base/adaptive_timeout.hpp>
 #include <caperpath/base/clock.hpp>
 #include <caperpath/base/error.hpp>
 #include <caperpath/store/async_port.hpp>
--- a/src/gateway/roster_keeper.cpp
+++ b/src/gateway/membership_tracker.cpp
@@ -1,6 +1,6 @@
-#include "gateway/roster_keeper.hpp"
+#include "gateway/membership_tracker.hpp"
 
-#include "gateway/call_after.hpp"
+#include "gateway/run_after.hpp"
 
 #include <chrono>
 #include <optional>
--- a/src/gateway/roster_keeper.hpp
+++ b/src/gateway/membership_tracker.hpp
@@ -1,11 +1,11 @@
-#ifndef CAPERPATH_SRC_GATEWAY_ROSTER_KEEPER_HPP
-#define CAPERPATH_SRC_GATEWAY_ROSTER_KEEPER_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_MEMBERSHIP_TRACKER_HPP
+#define CAPERPATH_SRC_GATEWAY_MEMBERSHIP_TRACKER_HPP
 
 #include "gateway/decision_log.hpp"
 
 #include <caperpath/base/clock.hpp>
-#include <caperpath/fleet/roster.hpp>
-#include <caperpath/fleet/slack_share.hpp>
+#include <caperpath/fleet/membership.hpp>
+#include <caperpath/fleet/retry_allowance.hpp>
 #include <caperpath/store/async_port.hpp>
 
 #include <boost/asio/any_io_executor.hpp>
--- a/src/gateway/peer_link.cpp
+++ b/src/gateway/peer_socket.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peer_link.hpp"
+#include "gateway/peer_socket.hpp"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/ip/address.hpp>
--- a/src/gateway/dialect.hpp
+++ b/src/gateway/protocol_adapter.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_GATEWAY_DIALECT_HPP
-#define CAPERPATH_SRC_GATEWAY_DIALECT_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_PROTOCOL_ADAPTER_HPP
+#define CAPERPATH_SRC_GATEWAY_PROTOCOL_ADAPTER_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/base/error.hpp>
--- a/src/gateway/server_pool.cpp
+++ b/src/gateway/server_pool.cpp
@@ -1,7 +1,7 @@
 #include "gateway/server_pool.hpp"
 
-#include "gateway/call_after.hpp"
-#include "gateway/http_call.hpp"
+#include "gateway/http_client.hpp"
+#include "gateway/run_after.hpp"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/src/gateway/spend_keeper.cpp
+++ b/src/gateway/spend_row_writer.cpp
@@ -1,6 +1,6 @@
-#include "gateway/spend_keeper.hpp"
+#include "gateway/spend_row_writer.hpp"
 
-#include "gateway/call_after.hpp"
+#include "gateway/run_after.hpp"
 
 #include <chrono>
 #include <utility>
--- a/src/gateway/table_follower.cpp
+++ b/src/gateway/table_follower.cpp
@@ -1,8 +1,8 @@
 #include "gateway/table_follower.hpp"
 
-#include "gateway/call_after.hpp"
+#include "gateway/run_after.hpp"
 
-#include <caperpath/base/follow_pace.hpp>
+#include <caperpath/base/follow_backoff.hpp>
 
 #include <algorithm>
 #include <chrono>
--- a/src/gateway/token_service.cpp
+++ b/src/gateway/token_exchange_service.cpp
@@ -1,6 +1,6 @@
 #include "gateway/token_exchange.hpp"
 
-#include "gateway/token_refusal.hpp"
+#include "gateway/token_rejection.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/token_refusal.hpp
+++ b/src/gateway/token_rejection.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_GATEWAY_TOKEN_REFUSAL_HPP
-#define CAPERPATH_SRC_GATEWAY_TOKEN_REFUSAL_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_TOKEN_REJECTION_HPP
+#define CAPERPATH_SRC_GATEWAY_TOKEN_REJECTION_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/budget/distribution.hpp>
--- a/src/load/attempt.hpp
+++ b/src/load/attempt.hpp
@@ -1,9 +1,9 @@
 #ifndef CAPERPATH_SRC_LOAD_ATTEMPT_HPP
 #define CAPERPATH_SRC_LOAD_ATTEMPT_HPP
 
-#include "load/answer_reader.hpp"
 #include "load/planner.hpp"
 #include "load/record.hpp"
+#include "load/response_reader.hpp"
 #include "load/scenario.hpp"
 
 #include <caperpath/base/clock.hpp>
--- a/src/load/answer_reader.cpp
+++ b/src/load/response_reader.cpp
@@ -1,6 +1,6 @@
-#include "load/answer_reader.hpp"
+#include "load/response_reader.hpp"
 
-#include "stand_in/answer.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/request/claim_end.cpp
+++ b/src/request/claim_finish.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/request/claim_run.hpp>
+#include <caperpath/request/claim_store.hpp>
 
 #include "claim_lookup.hpp"
 
--- a/src/request/answer.cpp
+++ b/src/request/response.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/request/answer.hpp>
+#include <caperpath/request/response.hpp>
 
 #include <nlohmann/json.hpp>
 
--- a/src/router/chat_relay.hpp
+++ b/src/router/chat_relay.hpp
@@ -4,7 +4,7 @@
 #include "filters/context.hpp"
 #include "http/exchange.hpp"
 
-#include <caperpath/request/answer.hpp>
+#include <caperpath/request/response.hpp>
 #include <caperpath/request/sse.hpp>
 
 #include <deque>
--- a/src/router/chat_answer.cpp
+++ b/src/router/chat_response.cpp
@@ -1,4 +1,4 @@
-#include "router/chat_answer.hpp"
+#include "router/chat_response.hpp"
 
 #include "http/server.hpp"
 
--- a/src/router/chat_answer.hpp
+++ b/src/router/chat_response.hpp
@@ -1,11 +1,11 @@
-#ifndef CAPERPATH_SRC_ROUTER_CHAT_ANSWER_HPP
-#define CAPERPATH_SRC_ROUTER_CHAT_ANSWER_HPP
+#ifndef CAPERPATH_SRC_ROUTER_CHAT_RESPONSE_HPP
+#define CAPERPATH_SRC_ROUTER_CHAT_RESPONSE_HPP
 
 #include "filters/chain.hpp"
 #include "filters/context.hpp"
-#include "filters/steps.hpp"
-#include "router/answer_json.hpp"
+#include "filters/request_filters.hpp"
 #include "router/chat_relay.hpp"
+#include "router/response_json.hpp"
 
 #include <string>
 
--- a/src/router/front.cpp
+++ b/src/router/http_routes.cpp
@@ -1,12 +1,12 @@
-#include "router/front.hpp"
+#include "router/http_routes.hpp"
 
 #include "filters/chain.hpp"
-#include "router/chat_answer.hpp"
+#include "router/chat_response.hpp"
 
 #include <caperpath/base/http_status.hpp>
 #include <caperpath/observe/log.hpp>
 
-#include "router/answer_json.hpp"
+#include "router/response_json.hpp"
 
 #include <exception>
 #include <utility>
--- a/src/router/front.hpp
+++ b/src/router/http_routes.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_ROUTER_FRONT_HPP
-#define CAPERPATH_SRC_ROUTER_FRONT_HPP
+#ifndef CAPERPATH_SRC_ROUTER_HTTP_ROUTES_HPP
+#define CAPERPATH_SRC_ROUTER_HTTP_ROUTES_HPP
 
 #include "filters/context.hpp"
 #include "http/server.hpp"
--- a/src/router/answer_json.cpp
+++ b/src/router/response_json.cpp
@@ -1,4 +1,4 @@
-#include "router/answer_json.hpp"
+#include "router/response_json.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/router/answer_json.hpp
+++ b/src/router/response_json.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_ROUTER_ANSWER_JSON_HPP
-#define CAPERPATH_SRC_ROUTER_ANSWER_JSON_HPP
+#ifndef CAPERPATH_SRC_ROUTER_RESPONSE_JSON_HPP
+#define CAPERPATH_SRC_ROUTER_RESPONSE_JSON_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/config/document.hpp>
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -4,7 +4,7 @@
 #include "http/exchange.hpp"
 #include "http/server.hpp"
 #include "http/worker_pool.hpp"
-#include "router/front.hpp"
+#include "router/http_routes.hpp"
 #include "router/load_poller.hpp"
 #include "router/platform_access.hpp"
 
--- a/src/stand_in/admin_routes.hpp
+++ b/src/stand_in/admin_routes.hpp
@@ -1,8 +1,8 @@
 #ifndef CAPERPATH_STAND_IN_ADMIN_ROUTES_HPP
 #define CAPERPATH_STAND_IN_ADMIN_ROUTES_HPP
 
-#include "stand_in/fault_board.hpp"
-#include "stand_in/order_desk.hpp"
+#include "stand_in/command_handler.hpp"
+#include "stand_in/fault_registry.hpp"
 #include "stand_in/stop_signal.hpp"
 
 #include <httplib.h>
--- a/src/stand_in/chat_request.cpp
+++ b/src/stand_in/chat_request.cpp
@@ -1,6 +1,6 @@
 #include "stand_in/chat_request.hpp"
 
-#include "stand_in/answer.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/stand_in/chat_request.hpp
+++ b/src/stand_in/chat_request.hpp
@@ -1,7 +1,7 @@
 #ifndef CAPERPATH_STAND_IN_CHAT_REQUEST_HPP
 #define CAPERPATH_STAND_IN_CHAT_REQUEST_HPP
 
-#include "stand_in/answer_stream.hpp"
+#include "stand_in/response_stream.hpp"
 #include "stand_in/scheduler.hpp"
 
 #include <caperpath/config/json_reader.hpp>
--- a/src/stand_in/order_desk.cpp
+++ b/src/stand_in/command_handler.cpp
@@ -1,4 +1,4 @@
-#include "stand_in/order_desk.hpp"
+#include "stand_in/command_handler.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/stand_in/engine.hpp
+++ b/src/stand_in/engine.hpp
@@ -2,12 +2,12 @@
 #define CAPERPATH_STAND_IN_ENGINE_HPP
 
 #include "http/server.hpp"
-#include "stand_in/answer_stream.hpp"
+#include "stand_in/command_handler.hpp"
 #include "stand_in/engine_settings.hpp"
-#include "stand_in/fault_board.hpp"
+#include "stand_in/fault_registry.hpp"
 #include "stand_in/load_history.hpp"
-#include "stand_in/order_desk.hpp"
 #include "stand_in/prefix_cache.hpp"
+#include "stand_in/response_stream.hpp"
 #include "stand_in/run_counter.hpp"
 #include "stand_in/scheduler.hpp"
 #include "stand_in/stop_signal.hpp"
--- a/src/stand_in/fault_board.cpp
+++ b/src/stand_in/fault_registry.cpp
@@ -1,4 +1,4 @@
-#include "stand_in/fault_board.hpp"
+#include "stand_in/fault_registry.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/stand_in/fault_board.hpp
+++ b/src/stand_in/fault_registry.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_STAND_IN_FAULT_BOARD_HPP
-#define CAPERPATH_STAND_IN_FAULT_BOARD_HPP
+#ifndef CAPERPATH_STAND_IN_FAULT_REGISTRY_HPP
+#define CAPERPATH_STAND_IN_FAULT_REGISTRY_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/config/json_reader.hpp>
--- a/src/stand_in/prefix_cache.cpp
+++ b/src/stand_in/prefix_cache.cpp
@@ -1,6 +1,6 @@
 #include "stand_in/prefix_cache.hpp"
 
-#include "stand_in/answer.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/stand_in/answer_stream.cpp
+++ b/src/stand_in/response_stream.cpp
@@ -1,6 +1,6 @@
-#include "stand_in/answer_stream.hpp"
+#include "stand_in/response_stream.hpp"
 
-#include "stand_in/answer.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/stand_in/answer.cpp
+++ b/src/stand_in/response_text.cpp
@@ -1,4 +1,4 @@
-#include "stand_in/answer.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/stand_in/service.hpp
+++ b/src/stand_in/service.hpp
@@ -2,9 +2,9 @@
 #define CAPERPATH_STAND_IN_SERVICE_HPP
 
 #include "http/server.hpp"
-#include "stand_in/fault_board.hpp"
+#include "stand_in/command_handler.hpp"
+#include "stand_in/fault_registry.hpp"
 #include "stand_in/load_history.hpp"
-#include "stand_in/order_desk.hpp"
 #include "stand_in/run_counter.hpp"
 #include "stand_in/stop_signal.hpp"
 
--- a/src/store/exchange.cpp
+++ b/src/store/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "store/exchange.hpp"
+#include "store/connection_pool.hpp"
 
 #include "http/server.hpp"
 
--- a/src/store/exchange.hpp
+++ b/src/store/connection_pool.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_STORE_EXCHANGE_HPP
-#define CAPERPATH_SRC_STORE_EXCHANGE_HPP
+#ifndef CAPERPATH_SRC_STORE_CONNECTION_POOL_HPP
+#define CAPERPATH_SRC_STORE_CONNECTION_POOL_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/store/http_port.hpp>
--- a/src/store/http_port.cpp
+++ b/src/store/http_port.cpp
@@ -2,7 +2,7 @@
 
 #include <caperpath/store/wire.hpp>
 
-#include "store/exchange.hpp"
+#include "store/connection_pool.hpp"
 
 #include <csignal>
 #include <memory>
--- a/src/store/stand_in.cpp
+++ b/src/store/store_emulator.cpp
@@ -1,9 +1,9 @@
-#include "store/stand_in.hpp"
+#include "store/store_emulator.hpp"
 
 #include "http/cut_connection.hpp"
 #include "http/fault_plan.hpp"
 #include "http/server.hpp"
-#include "store/stand_in_answer.hpp"
+#include "store/store_emulator_response.hpp"
 #include "store/token_bucket.hpp"
 #include "store/vm_history.hpp"
 
--- a/src/store/stand_in.hpp
+++ b/src/store/store_emulator.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_STORE_STAND_IN_HPP
-#define CAPERPATH_SRC_STORE_STAND_IN_HPP
+#ifndef CAPERPATH_SRC_STORE_STORE_EMULATOR_HPP
+#define CAPERPATH_SRC_STORE_STORE_EMULATOR_HPP
 
 #include <caperpath/base/clock.hpp>
 #include <caperpath/config/json_reader.hpp>
--- a/src/store/stand_in_answer.cpp
+++ b/src/store/store_emulator_response.cpp
@@ -1,4 +1,4 @@
-#include "store/stand_in_answer.hpp"
+#include "store/store_emulator_response.hpp"
 
 #include <utility>
 
--- a/src/store/stand_in_answer.hpp
+++ b/src/store/store_emulator_response.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_STORE_STAND_IN_ANSWER_HPP
-#define CAPERPATH_SRC_STORE_STAND_IN_ANSWER_HPP
+#ifndef CAPERPATH_SRC_STORE_STORE_EMULATOR_RESPONSE_HPP
+#define CAPERPATH_SRC_STORE_STORE_EMULATOR_RESPONSE_HPP
 
 #include <caperpath/config/json_reader.hpp>
 #include <caperpath/store/table.hpp>
--- a/src/store/stand_in_settings.cpp
+++ b/src/store/store_emulator_settings.cpp
@@ -1,4 +1,4 @@
-#include "store/stand_in.hpp"
+#include "store/store_emulator.hpp"
 
 #include "store/wire_json.hpp"
 
--- a/tests/base/call_patience_test.cpp
+++ b/tests/base/adaptive_timeout_test.cpp
@@ -1,13 +1,13 @@
-#include <caperpath/base/call_patience.hpp>
+#include <caperpath/base/adaptive_timeout.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
 using namespace caperpath;
 using namespace caperpath;
 
-class call_patience_test : public CppUnit::TestFixture
+class adaptive_timeout_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(call_patience_test);
+    CPPUNIT_TEST_SUITE(adaptive_timeout_test);
     CPPUNIT_TEST(a_lost_response_times_out_soon);
     CPPUNIT_TEST(the_timeout_grows_for_a_slow_store);
     CPPUNIT_TEST_SUITE_END();
@@ -41,4 +41,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(call_patience_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(adaptive_timeout_test);
--- a/tests/base/follow_pace_test.cpp
+++ b/tests/base/follow_backoff_test.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/base/follow_pace.hpp>
+#include <caperpath/base/follow_backoff.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -6,9 +6,9 @@
 
 using namespace caperpath;
 
-class follow_pace_test : public CppUnit::TestFixture
+class follow_backoff_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(follow_pace_test);
+    CPPUNIT_TEST_SUITE(follow_backoff_test);
     CPPUNIT_TEST(timeouts_grow_with_lost_calls);
     CPPUNIT_TEST(routers_retry_at_different_times);
     CPPUNIT_TEST(delays_are_bounded);
@@ -58,4 +58,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(follow_pace_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(follow_backoff_test);
--- a/tests/base/transfer_watch_test.cpp
+++ b/tests/base/stall_detector_test.cpp
@@ -1,12 +1,12 @@
-#include <caperpath/base/transfer_watch.hpp>
+#include <caperpath/base/stall_detector.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
 using namespace caperpath;
 
-class transfer_watch_test : public CppUnit::TestFixture
+class stall_detector_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(transfer_watch_test);
+    CPPUNIT_TEST_SUITE(stall_detector_test);
     CPPUNIT_TEST(a_slow_transfer_continues);
     CPPUNIT_TEST(a_stall_ends_the_transfer);
     CPPUNIT_TEST(a_trickle_ends_the_transfer);
@@ -45,4 +45,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(transfer_watch_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(stall_detector_test);
--- a/tests/budget/answered_test.cpp
+++ b/tests/budget/kept_bill_test.cpp
@@ -2,7 +2,7 @@
 
 #include <caperpath/budget/recovery.hpp>
 #include <caperpath/budget/settlement.hpp>
-#include <caperpath/request/claim_run.hpp>
+#include <caperpath/request/claim_store.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -79,9 +79,9 @@
 
 } // namespace
 
-class answered_test : public CppUnit::TestFixture
+class kept_bill_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(answered_test);
+    CPPUNIT_TEST_SUITE(kept_bill_test);
     CPPUNIT_TEST(a_crash_before_the_settlement_loses_no_bill);
     CPPUNIT_TEST(a_settled_bill_is_not_written_again);
     CPPUNIT_TEST(a_claim_written_after_its_bill_adds_no_bill);
@@ -138,4 +138,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(answered_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(kept_bill_test);
--- a/tests/budget/story.hpp
+++ b/tests/budget/random_actions.hpp
@@ -1,7 +1,7 @@
-#ifndef CAPERPATH_TESTS_BUDGET_STORY_HPP
-#define CAPERPATH_TESTS_BUDGET_STORY_HPP
+#ifndef CAPERPATH_TESTS_BUDGET_RANDOM_ACTIONS_HPP
+#define CAPERPATH_TESTS_BUDGET_RANDOM_ACTIONS_HPP
 
-#include "world.hpp"
+#include "fleet_simulation.hpp"
 
 #include <rapidcheck.h>
 
--- a/tests/budget/share_test.cpp
+++ b/tests/budget/share_test.cpp
@@ -1,4 +1,4 @@
-#include "story.hpp"
+#include "random_actions.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
--- a/tests/config/view_test.cpp
+++ b/tests/config/configuration_state_test.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/config/view.hpp>
+#include <caperpath/config/configuration_state.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -19,9 +19,9 @@
 
 } // namespace
 
-class view_test : public CppUnit::TestFixture
+class configuration_state_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(view_test);
+    CPPUNIT_TEST_SUITE(configuration_state_test);
     CPPUNIT_TEST(never_reverts_and_starts_with_the_newest);
     CPPUNIT_TEST(keeps_serving_while_a_newer_one_loads);
     CPPUNIT_TEST_SUITE_END();
@@ -73,4 +73,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(view_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(configuration_state_test);
--- a/tests/fleet/retry_fleet.hpp
+++ b/tests/fleet/retry_fleet.hpp
@@ -2,9 +2,9 @@
 #define CAPERPATH_TESTS_FLEET_RETRY_FLEET_HPP
 
 #include <caperpath/base/clock.hpp>
+#include <caperpath/fleet/membership.hpp>
+#include <caperpath/fleet/retry_allowance.hpp>
 #include <caperpath/fleet/retry_window.hpp>
-#include <caperpath/fleet/roster.hpp>
-#include <caperpath/fleet/slack_share.hpp>
 
 #include <cstdint>
 #include <deque>
--- a/tests/fleet/repeat_limit_test.cpp
+++ b/tests/fleet/retry_limit_test.cpp
@@ -9,9 +9,9 @@
 using namespace caperpath::fleet;
 
 /// The retry limit holds for the sum over all routers that ever ran.
-class repeat_limit_test : public CppUnit::TestFixture
+class retry_limit_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(repeat_limit_test);
+    CPPUNIT_TEST_SUITE(retry_limit_test);
     CPPUNIT_TEST(an_outage_of_the_store_adds_no_allowance);
     CPPUNIT_TEST(routers_that_start_in_an_outage_add_no_allowance);
     CPPUNIT_TEST(restarts_add_no_allowance);
@@ -362,4 +362,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(repeat_limit_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(retry_limit_test);
--- a/tests/fleet/rules_test.cpp
+++ b/tests/fleet/rules_test.cpp
@@ -1,7 +1,7 @@
 #include <caperpath/fleet/attempt.hpp>
-#include <caperpath/fleet/event_scan.hpp>
+#include <caperpath/fleet/event_splitter.hpp>
+#include <caperpath/fleet/membership.hpp>
 #include <caperpath/fleet/retry_window.hpp>
-#include <caperpath/fleet/roster.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
--- a/tests/fleet/own_link_test.cpp
+++ b/tests/fleet/uplink_test.cpp
@@ -1,13 +1,13 @@
-#include <caperpath/fleet/own_link.hpp>
+#include <caperpath/fleet/uplink.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
 using namespace caperpath;
 using namespace caperpath::fleet;
 
-class own_link_test : public CppUnit::TestFixture
+class uplink_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(own_link_test);
+    CPPUNIT_TEST_SUITE(uplink_test);
     CPPUNIT_TEST(a_saturated_link_sheds_callers);
     CPPUNIT_TEST(silent_servers_alone_shed_nobody);
     CPPUNIT_TEST(a_silent_store_alone_sheds_nobody);
@@ -142,4 +142,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(own_link_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(uplink_test);
--- a/tests/gateway/crash_keeper_test.cpp
+++ b/tests/gateway/crash_tracker_test.cpp
@@ -1,5 +1,5 @@
-#include "gateway/crash_keeper.hpp"
 #include "gateway/crash_rows.hpp"
+#include "gateway/crash_tracker.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -16,9 +16,9 @@
 using namespace caperpath;
 using namespace caperpath::gateway;
 
-class crash_keeper_test : public CppUnit::TestFixture
+class crash_tracker_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(crash_keeper_test);
+    CPPUNIT_TEST_SUITE(crash_tracker_test);
     CPPUNIT_TEST(an_idle_site_makes_few_store_calls);
     CPPUNIT_TEST(a_lost_call_shortens_the_next_waits);
     CPPUNIT_TEST(a_lost_long_poll_hides_no_crash);
@@ -196,4 +196,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(crash_keeper_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(crash_tracker_test);
--- a/tests/gateway/fleet_site.cpp
+++ b/tests/gateway/fleet_site.cpp
@@ -1,6 +1,6 @@
 #include "gateway/fleet_site.hpp"
 
-#include "platform/dialect.hpp"
+#include "platform/protocol_adapter.hpp"
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/parser.hpp>
--- a/tests/gateway/http_call_test.cpp
+++ b/tests/gateway/http_client_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/http_call.hpp"
+#include "gateway/http_client.hpp"
 
 #include <boost/asio/io_context.hpp>
 
@@ -10,9 +10,9 @@
 using namespace caperpath;
 using namespace caperpath::gateway;
 
-class http_call_test : public CppUnit::TestFixture
+class http_client_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(http_call_test);
+    CPPUNIT_TEST_SUITE(http_client_test);
     CPPUNIT_TEST(keepalive_probes_detect_silence_in_time);
     CPPUNIT_TEST(keepalive_probes_can_be_disabled);
     CPPUNIT_TEST_SUITE_END();
@@ -60,4 +60,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(http_call_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(http_client_test);
--- a/tests/gateway/shutdown_test.cpp
+++ b/tests/gateway/shutdown_test.cpp
@@ -1,5 +1,5 @@
 #include "gateway/fleet_site.hpp"
-#include "gateway/plain_caller.hpp"
+#include "gateway/standalone_client.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/gateway/spend_keeper_test.cpp
+++ b/tests/gateway/spend_row_writer_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/spend_keeper.hpp"
+#include "gateway/spend_row_writer.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,9 +11,9 @@
 using namespace caperpath;
 using namespace caperpath::gateway;
 
-class spend_keeper_test : public CppUnit::TestFixture
+class spend_row_writer_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(spend_keeper_test);
+    CPPUNIT_TEST_SUITE(spend_row_writer_test);
     CPPUNIT_TEST(an_immediate_rejection_is_retried_after_a_pause);
     CPPUNIT_TEST(the_limit_at_a_later_time_is_known);
     CPPUNIT_TEST_SUITE_END();
@@ -116,4 +116,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(spend_keeper_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(spend_row_writer_test);
--- a/tests/gateway/plain_caller.cpp
+++ b/tests/gateway/standalone_client.cpp
@@ -1,4 +1,4 @@
-#include "gateway/plain_caller.hpp"
+#include "gateway/standalone_client.hpp"
 
 #include <boost/asio/write.hpp>
 namespace caperpath::gateway
--- a/tests/gateway/own_link_test.cpp
+++ b/tests/gateway/uplink_test.cpp
@@ -10,9 +10,9 @@
 using namespace caperpath;
 using namespace caperpath::gateway;
 
-class own_link_test : public CppUnit::TestFixture
+class uplink_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(own_link_test);
+    CPPUNIT_TEST_SUITE(uplink_test);
     CPPUNIT_TEST(a_router_with_a_full_uplink_leaves_the_rotation);
     CPPUNIT_TEST(a_router_whose_servers_are_silent_stays_in_rotation);
     CPPUNIT_TEST(a_router_without_the_store_stays_in_rotation);
@@ -152,4 +152,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(own_link_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(uplink_test);
--- a/tests/load/answer_reader_test.cpp
+++ b/tests/load/response_reader_test.cpp
@@ -1,5 +1,5 @@
-#include "load/answer_reader.hpp"
-#include "stand_in/answer.hpp"
+#include "load/response_reader.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <nlohmann/json.hpp>
@@ -60,9 +60,9 @@
 
 } // namespace
 
-class answer_reader_test : public CppUnit::TestFixture
+class response_reader_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(answer_reader_test);
+    CPPUNIT_TEST_SUITE(response_reader_test);
     CPPUNIT_TEST(splitting_does_not_matter);
     CPPUNIT_TEST(a_stream_that_ends_early_is_cut);
     CPPUNIT_TEST(a_duplicate_missing_or_foreign_token_is_wrong);
@@ -148,4 +148,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(answer_reader_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(response_reader_test);
--- a/tests/platform/store_port_test.cpp
+++ b/tests/platform/store_port_test.cpp
@@ -1,5 +1,5 @@
 #include "gateway/fake_server.hpp"
-#include "gateway/http_call.hpp"
+#include "gateway/http_client.hpp"
 #include "platform/store_port.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/request/claim_world.hpp
+++ b/tests/request/claim_simulation.hpp
@@ -1,9 +1,9 @@
-#ifndef CAPERPATH_TESTS_REQUEST_CLAIM_WORLD_HPP
-#define CAPERPATH_TESTS_REQUEST_CLAIM_WORLD_HPP
+#ifndef CAPERPATH_TESTS_REQUEST_CLAIM_SIMULATION_HPP
+#define CAPERPATH_TESTS_REQUEST_CLAIM_SIMULATION_HPP
 
-#include "request/turnstile.hpp"
+#include "request/step_gate.hpp"
 
-#include <caperpath/request/claim_run.hpp>
+#include <caperpath/request/claim_store.hpp>
 #include <caperpath/store/memory_table.hpp>
 
 #include <cstdint>
--- a/tests/request/claim_world_check.cpp
+++ b/tests/request/claim_simulation_check.cpp
@@ -1,4 +1,4 @@
-#include "request/claim_world.hpp"
+#include "request/claim_simulation.hpp"
 
 #include <caperpath/budget/recovery.hpp>
 
--- a/tests/request/answer_test.cpp
+++ b/tests/request/response_test.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/request/answer.hpp>
+#include <caperpath/request/response.hpp>
 #include <caperpath/request/retry.hpp>
 #include <caperpath/request/sse.hpp>
 
--- a/tests/request/turnstile.cpp
+++ b/tests/request/step_gate.cpp
@@ -1,4 +1,4 @@
-#include "request/turnstile.hpp"
+#include "request/step_gate.hpp"
 
 #include <utility>
 
--- a/tests/router/caller.hpp
+++ b/tests/router/caller.hpp
@@ -1,7 +1,7 @@
 #ifndef CAPERPATH_TESTS_ROUTER_CALLER_HPP
 #define CAPERPATH_TESTS_ROUTER_CALLER_HPP
 
-#include "stand_in/answer.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <caperpath/base/clock.hpp>
 
--- a/tests/router/site.hpp
+++ b/tests/router/site.hpp
@@ -4,7 +4,7 @@
 #include "router/router.hpp"
 #include "stand_in/engine.hpp"
 #include "stand_in/service.hpp"
-#include "store/stand_in.hpp"
+#include "store/store_emulator.hpp"
 
 #include <caperpath/budget/bill.hpp>
 #include <caperpath/store/table.hpp>
--- a/tests/soak/store_stand_in.cpp
+++ b/tests/soak/fake_store.cpp
@@ -1,4 +1,4 @@
-#include "soak/store_stand_in.hpp"
+#include "soak/fake_store.hpp"
 
 #include "soak/pause.hpp"
 
--- a/tests/soak/store_stand_in.hpp
+++ b/tests/soak/fake_store.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_TESTS_SOAK_STORE_STAND_IN_HPP
-#define CAPERPATH_TESTS_SOAK_STORE_STAND_IN_HPP
+#ifndef CAPERPATH_TESTS_SOAK_FAKE_STORE_HPP
+#define CAPERPATH_TESTS_SOAK_FAKE_STORE_HPP
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
--- a/tests/soak/soak_site.hpp
+++ b/tests/soak/soak_site.hpp
@@ -1,11 +1,11 @@
 #ifndef CAPERPATH_TESTS_SOAK_SOAK_SITE_HPP
 #define CAPERPATH_TESTS_SOAK_SOAK_SITE_HPP
 
+#include "soak/fake_store.hpp"
 #include "soak/pause.hpp"
 #include "soak/router_process.hpp"
 #include "soak/soak_record.hpp"
 #include "soak/soak_servers.hpp"
-#include "soak/store_stand_in.hpp"
 
 #include <chrono>
 #include <cstdint>
--- a/tests/stand_in/running_engine.hpp
+++ b/tests/stand_in/running_engine.hpp
@@ -1,8 +1,8 @@
 #ifndef CAPERPATH_TESTS_STAND_IN_RUNNING_ENGINE_HPP
 #define CAPERPATH_TESTS_STAND_IN_RUNNING_ENGINE_HPP
 
-#include "stand_in/answer.hpp"
 #include "stand_in/engine.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <cstdint>
 #include <string>
--- a/tests/store/fake_platform.hpp
+++ b/tests/store/fake_platform.hpp
@@ -3,7 +3,7 @@
 
 #include <caperpath/store/http_port.hpp>
 
-#include "store/stand_in.hpp"
+#include "store/store_emulator.hpp"
 
 #include <cppunit/TestAssert.h>
 #include <httplib.h>
--- a/tests/store/stand_in_test.cpp
+++ b/tests/store/store_emulator_test.cpp
@@ -19,9 +19,9 @@
 
 } // namespace
 
-class stand_in_test : public CppUnit::TestFixture
+class store_emulator_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(stand_in_test);
+    CPPUNIT_TEST_SUITE(store_emulator_test);
     CPPUNIT_TEST(the_vm_list_lags);
     CPPUNIT_TEST(the_example_settings_are_valid);
     CPPUNIT_TEST_SUITE_END();
@@ -63,4 +63,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(stand_in_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_emulator_test);
--- a/tools/gateway/main.cpp
+++ b/tools/gateway/main.cpp
@@ -1,8 +1,8 @@
 #include "gateway/gateway.hpp"
-#include "gateway/http_call.hpp"
+#include "gateway/http_client.hpp"
 #include "gateway/settings.hpp"
 #include "observe/command_line.hpp"
-#include "platform/dialect.hpp"
+#include "platform/protocol_adapter.hpp"
 #include "platform/store_port.hpp"
 
 #include <boost/asio/signal_set.hpp>
--- a/tools/platform/main.cpp
+++ b/tools/platform/main.cpp
@@ -1,6 +1,6 @@
 #include "observe/command_line.hpp"
 #include "observe/termination.hpp"
-#include "store/stand_in.hpp"
+#include "store/store_emulator.hpp"
 
 #include <nlohmann/json.hpp>
 
