--- a/bench/budget_fleet_run.hpp
+++ b/bench/budget_fleet_run.hpp
@@ -165,7 +165,7 @@
     this->open.at(id).finished = this->loop.now();
     this->truth.finished(this->sums, wanted.customer, wanted.worst,
                          wanted.cost);
-    if (step.may_end)
+    if (step.response_may_end)
     {
         this->end_answer(number);
     }
@@ -241,11 +241,11 @@
     auto const now = this->loop.now();
     if (failed)
     {
-        share = budget::look_failed(std::move(share), now);
+        share = budget::after_failed_read(std::move(share), now);
         return;
     }
-    auto const rows = this->table->read(budget::look_keys(share, at->holder));
-    share = budget::looked(std::move(share), at->holder, rows, now);
+    auto const rows = this->table->read(budget::read_keys(share, at->holder));
+    share = budget::after_read(std::move(share), at->holder, rows, now);
     at->unready = false;
     this->pump_budget(at, budget);
 }
@@ -266,9 +266,9 @@
         return false;
     }
     auto& share = at->shares.at(budget);
-    auto answers = budget::answer_waiting(std::move(share), this->loop.now());
+    auto answers = budget::decide_waiting(std::move(share), this->loop.now());
     share = std::move(answers.state);
-    for (auto const& one : answers.answers)
+    for (auto const& one : answers.decisions)
     {
         auto const number = this->open.at(one.request.value).number;
         if (one.reply.verdict == budget::reserve_verdict::admitted)
@@ -287,12 +287,12 @@
                    [this, at, budget](store::commit_result const& outcome)
                    {
                        auto& share = at->shares.at(budget);
-                       share = budget::wrote(std::move(share), at->holder,
-                                             outcome, this->loop.now());
+                       share = budget::after_write(std::move(share), at->holder,
+                                                   outcome, this->loop.now());
                        this->pump_budget(at, budget);
                    });
     }
-    return step.kind == budget::step_kind::look;
+    return step.kind == budget::step_kind::read;
 }
 
 inline void fleet::pump_settlement(router_ptr const& at)
--- a/bench/capacity/budgets.cpp
+++ b/bench/capacity/budgets.cpp
@@ -76,7 +76,7 @@
 {
     for (auto& [id, share] : shares)
     {
-        auto answered = budget::answer_waiting(std::move(share), now);
+        auto answered = budget::decide_waiting(std::move(share), now);
         auto step = budget::next_step(std::move(answered.state), holder, now);
         share = std::move(step.state);
     }
--- a/include/caperpath/base/adaptive_timeout.hpp
+++ b/include/caperpath/base/adaptive_timeout.hpp
@@ -14,24 +14,24 @@
 {
 
 /// Value type.
-struct call_patience
+struct adaptive_timeout
 {
     double usual_ms{10}; ///< smoothed recent response time
     int unanswered{};    ///< consecutive calls without a response
 
-    friend bool operator==(call_patience const&,
-                           call_patience const&) = default;
+    friend bool operator==(adaptive_timeout const&,
+                           adaptive_timeout const&) = default;
 };
 
 /// The timeout of the next call: at least 200 ms, at most `longest`. Thread
 /// safe.
-duration wait_for_answer(call_patience const& of, duration longest);
+duration next_call_timeout(adaptive_timeout const& of, duration longest);
 
 /// The state after a response that took `took`. Thread safe.
-call_patience answered(call_patience of, duration took);
+adaptive_timeout after_response(adaptive_timeout of, duration took);
 
 /// The state after a call without a response in time. Thread safe.
-call_patience unanswered(call_patience of);
+adaptive_timeout after_timeout(adaptive_timeout of);
 
 } // namespace caperpath
 
--- a/include/caperpath/base/follow_backoff.hpp
+++ b/include/caperpath/base/follow_backoff.hpp
@@ -13,12 +13,12 @@
 /// How long to wait for the response to begin. `usual` suffices on a link that
 /// is not saturated; the timeout grows, since on a saturated link every
 /// response is late. Thread safe.
-duration answer_limit(duration usual, int failures);
+duration first_byte_timeout(duration usual, int failures);
 
 /// The delay before the next call. It varies with `salt`, since routers whose
 /// calls failed at the same moment would otherwise all retry at the same
 /// moment. Thread safe.
-duration retry_pause(int failures, std::size_t salt);
+duration retry_backoff(int failures, std::size_t salt);
 
 /// How long the store may hold the next call for changes, after it held one for
 /// `last` without any: twice as long, up to `longest`. After a lost call the
@@ -30,7 +30,7 @@
 /// the store reports if the changes since a version are incomplete. After more
 /// lost calls the changes may be larger than the table, since the store sends
 /// each version of a row. Thread safe.
-bool reads_anew(int failures);
+bool needs_full_read(int failures);
 
 } // namespace caperpath
 
--- a/include/caperpath/base/stall_detector.hpp
+++ b/include/caperpath/base/stall_detector.hpp
@@ -13,28 +13,28 @@
 {
 
 /// Value type.
-struct transfer_watch
+struct stall_detector
 {
     duration longest_stall{}; ///< window in which `least_progress` must arrive
     instant since{};          ///< start of the current window
     std::size_t since_bytes{0}; ///< bytes that arrived in it
 
-    friend bool operator==(transfer_watch const&,
-                           transfer_watch const&) = default;
+    friend bool operator==(stall_detector const&,
+                           stall_detector const&) = default;
 };
 
 /// In bytes. A window with fewer counts as a stall.
 inline constexpr std::size_t least_progress = 4'096;
 
 /// Starts to watch a transfer. Thread safe. @pre `longest_stall` is positive.
-transfer_watch watch_transfer(duration longest_stall, instant now);
+stall_detector start_stall_detector(duration longest_stall, instant now);
 
 /// The state after `bytes` arrived at `now`. Thread safe.
-transfer_watch arrived(transfer_watch of, std::size_t bytes, instant now);
+stall_detector arrived(stall_detector of, std::size_t bytes, instant now);
 
 /// The time from which the transfer counts as stalled unless more bytes arrive.
 /// Thread safe.
-instant stalled_at(transfer_watch const& of);
+instant stall_deadline(stall_detector const& of);
 
 } // namespace caperpath
 
--- a/include/caperpath/budget/distribution.hpp
+++ b/include/caperpath/budget/distribution.hpp
@@ -87,7 +87,8 @@
 
 /// The recalls that gather `wanted` tokens now, from the routers with the most
 /// free tokens; few enough that a caller can wait for all. Thread safe.
-std::vector<token_move> gather(budget_stock const& stock, token_count wanted);
+std::vector<token_move> plan_recalls(budget_stock const& stock,
+                                     token_count wanted);
 
 /// The VMs that may coordinate `budget`, in the order in which they are asked.
 /// @pre `vms` holds each VM once. Thread safe.
--- a/include/caperpath/budget/holdings.hpp
+++ b/include/caperpath/budget/holdings.hpp
@@ -47,23 +47,23 @@
 result<std::map<budget_id, holding>> decode_holdings(std::string const& bytes);
 
 /// A router's latest report, and when it was received.
-struct heard_holding
+struct received_holding
 {
     holding last;
     instant at{};
 
-    friend bool operator==(heard_holding const&,
-                           heard_holding const&) = default;
+    friend bool operator==(received_holding const&,
+                           received_holding const&) = default;
 };
 
 /// The latest reports about one budget. By VM, since the successor of a dead
 /// router reports its predecessor's spending as its own. Value type.
-using holdings = std::map<vm_id, heard_holding>;
+using holdings = std::map<vm_id, received_holding>;
 
 /// The largest number of routers that allocate budgets by their reports. The
 /// delay until a token request is read grows with their number while a caller
 /// waits for a response, and the draws of many holders conflict.
-inline constexpr std::int64_t most_dealing_routers = 15;
+inline constexpr std::int64_t max_allocating_routers = 15;
 
 /// The pause between two reads of the routers' reports. It grows with their
 /// number, since each reads the rows of all. Thread safe.
@@ -73,16 +73,16 @@
 duration holding_lifetime(std::int64_t routers);
 
 /// The allocation of one router. Immutable value.
-struct deal
+struct allocation
 {
     token_count target{}; ///< tokens to hold free
     /// What others lack of their parts beyond the ungranted tokens; 0 unless
     /// one of them has less than half of its part.
-    token_count others_lack{};
+    token_count others_shortage{};
     token_count
         spent_by_all{}; ///< by this router and those with a recent report
 
-    friend bool operator==(deal const&, deal const&) = default;
+    friend bool operator==(allocation const&, allocation const&) = default;
 };
 
 /// What a router needs free: the traffic of `ahead`, plus twice its standard
@@ -94,8 +94,9 @@
 /// The allocation for the router at `self`, which holds `own` now. `row` is the
 /// budget row. `routers` counts those that may be alive; those without a recent
 /// report are assumed to need the mean of the others. Thread safe.
-deal deal_for(holdings const& known, vm_id const& self, holding const& own,
-              budget_row const& row, std::int64_t routers, instant now);
+allocation allocation_for(holdings const& known, vm_id const& self,
+                          holding const& own, budget_row const& row,
+                          std::int64_t routers, instant now);
 
 /// True if `self` has to return tokens for holders that lack `wanted`, because
 /// the holders with more spare tokens do not cover it. If all returned tokens
--- a/include/caperpath/budget/recovery.hpp
+++ b/include/caperpath/budget/recovery.hpp
@@ -53,10 +53,10 @@
 /// shown, with the `list` read at `now`. The list may lag by seconds and come
 /// from several replicas, so an incarnation counts as destroyed after it has
 /// been absent from every list read for `list_lag`. Thread safe.
-watch_step watch_list(death_watch watch,
-                      std::vector<incarnation_id> const& once_listed,
-                      std::vector<store::listed_vm> const& list,
-                      duration list_lag, instant now);
+watch_step check_vm_list(death_watch watch,
+                         std::vector<incarnation_id> const& once_listed,
+                         std::vector<store::listed_vm> const& list,
+                         duration list_lag, instant now);
 
 /// Creates the holder row. A retry after a lost response finds it. Thread safe;
 /// blocks. Error `conflict` if the incarnation was fenced or another process
--- a/include/caperpath/budget/rows.hpp
+++ b/include/caperpath/budget/rows.hpp
@@ -103,8 +103,8 @@
 /// the bill, so a router that dies in between leaves the bill as well as the
 /// response. Two bills of one request, whose caller left and came back, have
 /// separate rows.
-std::string answered_key(incarnation_id const& holder, bill const& cost);
-std::string answered_prefix(incarnation_id const& holder);
+std::string kept_bill_key(incarnation_id const& holder, bill const& cost);
+std::string kept_bill_prefix(incarnation_id const& holder);
 std::string held_key(budget_id const& budget, incarnation_id const& holder);
 std::string topup_key(budget_id const& budget, std::string const& topup_id);
 
--- a/include/caperpath/budget/share.hpp
+++ b/include/caperpath/budget/share.hpp
@@ -36,21 +36,20 @@
     budget_row row;
     std::uint64_t version{}; ///< 0: the row does not exist
     instant at{};            ///< when the row had this version
-    instant wish_since{};    ///< since when `wanted` has its value
+    instant wanted_since{};  ///< since when `wanted` has its value
 
     friend bool operator==(seen_budget const&, seen_budget const&) = default;
 };
 
 /// Waits that ended without enough tokens for their reservation.
-struct fruitless_wait
+struct unmet_wait
 {
     token_count amount{}; ///< the smallest amount waited for
     std::uint64_t budget_version{};
     instant since{}; ///< end of the first wait at this version
     instant last{};  ///< end of the latest wait
 
-    friend bool operator==(fruitless_wait const&,
-                           fruitless_wait const&) = default;
+    friend bool operator==(unmet_wait const&, unmet_wait const&) = default;
 };
 
 /// A reservation that waits for a draw.
@@ -92,12 +91,12 @@
     /// Set while writes whose response was lost may still take effect: the
     /// smallest share that any of them leaves.
     std::optional<share_row> floor;
-    bool look_first{false}; ///< a response was lost: read the rows first
-    token_count wanting{};  ///< what this router wrote to `wanted`
+    bool read_first{false};   ///< a response was lost: read the rows first
+    token_count own_wanted{}; ///< what this router wrote to `wanted`
 
     /// What this router should hold according to the reports of all routers.
     /// Set by the caller; empty while unknown.
-    std::optional<deal> dealt;
+    std::optional<allocation> current_allocation;
     /// This holder has to return tokens that others want or lack: the holders
     /// with more spare tokens do not cover them.
     bool must_return{true};
@@ -108,7 +107,7 @@
     /// This router requests tokens from other routers, and draws from the
     /// budget row only while `draws` is set.
     bool has_peers{false};
-    bool draws{true};
+    bool may_draw_from_store{true};
 
     /// Upper bound on what may be spent now, independent of the granted tokens.
     std::optional<token_count> spend_limit;
@@ -121,7 +120,7 @@
 
     /// While the budget row stays unchanged for long after this wait, another
     /// wait for at least as much cannot succeed.
-    std::optional<fruitless_wait> fruitless;
+    std::optional<unmet_wait> last_unmet_wait;
 
     rate_meter rate;
     rate_meter others;         ///< draws of the other holders, less returns
@@ -158,11 +157,11 @@
                     std::uint64_t version);
 
 /// Adds `tokens` received from another router. Thread safe.
-share_state received(share_state state, token_count tokens);
+share_state add_received(share_state state, token_count tokens);
 
 /// Counts the tokens of an admitted reservation for another router as spent
 /// here, before they are sent. @pre `request` is open. Thread safe.
-share_state handed_over(share_state state, request_id const& request);
+share_state spend_transfer(share_state state, request_id const& request);
 
 /// The state and, if the reservation was decided, the reply.
 struct reserve_step
@@ -187,7 +186,7 @@
     /// The response may end before the bill is durable: the policy is
     /// false_refusals_first, and the tokens that a recovery of this router
     /// would hold back cover the bill.
-    bool may_end{};
+    bool response_may_end{};
     bill cost; ///< at most the reserved tokens
 };
 finish_step finish(share_state state, finish_request const& request,
@@ -201,35 +200,35 @@
 share_state settled(share_state state, token_count tokens);
 
 /// A waiting reservation that was admitted or rejected.
-struct answered_reservation
+struct decided_reservation
 {
     request_id request;
     reserve_reply reply;
 
-    friend bool operator==(answered_reservation const&,
-                           answered_reservation const&) = default;
+    friend bool operator==(decided_reservation const&,
+                           decided_reservation const&) = default;
 };
 
-struct answer_step
+struct decision_step
 {
     share_state state;
-    std::vector<answered_reservation> answers;
+    std::vector<decided_reservation> decisions;
 };
 
 /// Admits waiting reservations that fit now and rejects those that timed out or
 /// cannot fit. Call after each step and as time passes. Thread safe.
-answer_step answer_waiting(share_state state, instant now);
+decision_step decide_waiting(share_state state, instant now);
 
 /// Rejects the callers' reservations that the free tokens do not cover, because
 /// no other router has tokens to give. `retry_after` as in `reserve_reply`.
 /// Thread safe.
-answer_step refuse_uncovered(share_state state, duration retry_after,
-                             instant now);
+decision_step reject_uncovered(share_state state, duration retry_after,
+                               instant now);
 
 enum class step_kind
 {
     none,
-    look, ///< read the budget, share and holder rows
+    read, ///< read the budget, share and holder rows
     write ///< commit `txn`
 };
 
@@ -249,23 +248,24 @@
 instant next_due(share_state const& state, instant now);
 
 /// Applies the result of a read: the rows that exist. Thread safe.
-share_state looked(share_state state, holder_view const& holder,
-                   std::vector<store::row> const& rows, instant now);
+share_state after_read(share_state state, holder_view const& holder,
+                       std::vector<store::row> const& rows, instant now);
 
 /// Applies the budget row from a feed, or notes that the feed shows no newer
 /// version than the one last read. Thread safe.
-share_state noticed(share_state state, store::row const& budget, instant now);
-share_state unchanged(share_state state, instant now);
+share_state after_feed_update(share_state state, store::row const& budget,
+                              instant now);
+share_state after_feed_unchanged(share_state state, instant now);
 
 /// Records that a read failed. Thread safe.
-share_state look_failed(share_state state, instant now);
+share_state after_failed_read(share_state state, instant now);
 
 /// Records whether another operation (settlement) reached the store. Thread
 /// safe.
 share_state store_result(share_state state, bool reached, instant now);
 
 /// The keys that a read step reads, in no particular order. Thread safe.
-std::vector<std::string> look_keys(share_state const& state,
+std::vector<std::string> read_keys(share_state const& state,
                                    holder_view const& holder);
 
 /// Stops admission. From now on `next_step` gives the tokens of the share back
@@ -276,8 +276,8 @@
 bool is_closed(share_state const& state);
 
 /// Applies the result of a write that `next_step` returned. Thread safe.
-share_state wrote(share_state state, holder_view const& holder,
-                  store::commit_result const& outcome, instant now);
+share_state after_write(share_state state, holder_view const& holder,
+                        store::commit_result const& outcome, instant now);
 
 } // namespace caperpath::budget
 
--- a/include/caperpath/budget/sizing.hpp
+++ b/include/caperpath/budget/sizing.hpp
@@ -69,19 +69,20 @@
     std::int64_t least_return_part{0};
     /// After a wait without success, requests for at least as much are rejected
     /// at once for this long, times the number of holders.
-    duration refuse_at_once{0};
+    duration reject_at_once_for{0};
     /// With an allocation, a holder draws below the first and returns above the
     /// second of these multiples of its target. The pause between two such
     /// moves grows with the number of holders.
-    double deal_low{0.7};
-    double deal_high{1.4};
-    duration deal_pause{400};
-    duration deal_pause_per_holder{15};
-    std::int64_t near_end_part{50}; ///< near the end: ungranted < paid / this
-    duration fresh{50};             ///< a row read this long ago may be used
-    duration look_interval{1'000};  ///< pause between reads with idle tokens
-    duration near_end_look{200};    ///< the same near the end of the budget
-    duration waiting_look{50};      ///< the same while a reservation waits
+    double draw_below_target{0.7};
+    double return_above_target{1.4};
+    duration allocation_pause{400};
+    duration allocation_pause_per_holder{15};
+    std::int64_t near_end_divisor{
+        50};                       ///< near the end: ungranted < paid / this
+    duration max_row_age{50};      ///< a row read this long ago may be used
+    duration look_interval{1'000}; ///< pause between reads with idle tokens
+    duration near_end_look{200};   ///< the same near the end of the budget
+    duration waiting_look{50};     ///< the same while a reservation waits
     /// While no reservation waits, the pauses between reads grow with the
     /// number of holders, so that the total rate of reads of a row does not.
     duration look_per_holder{0};
@@ -126,7 +127,7 @@
                         std::size_t salt);
 
 /// A pseudo-random fraction in [0, 1) computed from `salt`. Thread safe.
-double spread_of(std::size_t salt);
+double jitter_fraction(std::size_t salt);
 
 /// The pause after `failures` consecutive failures. It doubles with each, with
 /// jitter from `salt`, so that routers do not all return to a recovering store
--- a/include/caperpath/budget/spend_journal.hpp
+++ b/include/caperpath/budget/spend_journal.hpp
@@ -33,7 +33,7 @@
 
 /// The spend limit of one budget: an upper bound on what may have been spent,
 /// as a function of store time. Immutable value.
-struct spend_line
+struct spend_limit_curve
 {
     token_count spent{};      ///< the bound while the limit is flat, from the
                               ///< row's time
@@ -44,12 +44,13 @@
     bool has_share{true}; ///< a share row exists or may exist
     token_count given{};  ///< part of `spent`: sent to other routers
 
-    friend bool operator==(spend_line const&, spend_line const&) = default;
+    friend bool operator==(spend_limit_curve const&,
+                           spend_limit_curve const&) = default;
 };
 
 /// Spend limits are flat for this long: a router that crashes, alone or with
 /// all others, restarts within this time.
-inline constexpr duration flat_for{900};
+inline constexpr duration flat_period{900};
 
 /// Row `spend/<vm>`. Immutable value.
 struct spend_row
@@ -59,7 +60,7 @@
     /// Store time at which the limits begin; 0 before the first
     /// acknowledgement.
     std::int64_t at_ms{};
-    std::map<budget_id, spend_line> lines;
+    std::map<budget_id, spend_limit_curve> limits;
 
     friend bool operator==(spend_row const&, spend_row const&) = default;
 };
@@ -112,7 +113,8 @@
 /// The row to send next. A row without a known result is retried unchanged, so
 /// that the store can hold at most two versions. Thread safe.
 spend_row next_row(spend_journal const& journal,
-                   std::map<budget_id, spend_line> const& wanted, instant now);
+                   std::map<budget_id, spend_limit_curve> const& wanted,
+                   instant now);
 
 /// Records that `row` is sent: its limits apply from now on. Thread safe.
 spend_journal sent(spend_journal journal, spend_row const& row);
@@ -130,9 +132,9 @@
 /// What a dead router at the same address left of each budget; `spent` is an
 /// upper bound on its spending. Empty if `row` is of another address or has no
 /// time. `dead_ms` is a store time after its death. Thread safe.
-std::optional<std::map<budget_id, spend_line>>
-spent_at_most(spend_row const& row, std::string const& own_address,
-              std::int64_t dead_ms);
+std::optional<std::map<budget_id, spend_limit_curve>>
+max_spent_by_dead(spend_row const& row, std::string const& own_address,
+                  std::int64_t dead_ms);
 
 } // namespace caperpath::budget
 
--- a/include/caperpath/config/codec.hpp
+++ b/include/caperpath/config/codec.hpp
@@ -24,7 +24,7 @@
 
 /// Most keys of one customer. Eight allow an operator to replace a key while
 /// the old one is still in use, and keep the cost of trying all of them low.
-inline constexpr std::size_t max_keys = 8;
+inline constexpr std::size_t max_customer_keys = 8;
 
 /// True if `text` has 1 to 64 letters, digits, '.', '_' and '-' and does not
 /// start with '.' or '-'. Such a name needs no escaping in a path, a row's key
--- a/include/caperpath/config/document.hpp
+++ b/include/caperpath/config/document.hpp
@@ -90,7 +90,7 @@
     std::string address; ///< "IP:port"
     failure_domain_id failure_domain;
     bool checks_fencing{false}; ///< rejects commands with an old fencing number
-    bool leaving{false};        ///< draining: gets no new requests
+    bool draining{false};       ///< draining: gets no new requests
 
     friend bool operator==(backend_server const&,
                            backend_server const&) = default;
--- a/include/caperpath/config/json_reader.hpp
+++ b/include/caperpath/config/json_reader.hpp
@@ -38,18 +38,18 @@
     std::string text(std::string_view key, char const* fallback = nullptr);
 
     /// Returns an integer in [least, most]; a fault names its `unit`.
-    std::int64_t whole(std::string_view key, std::string_view unit,
-                       std::int64_t least, std::int64_t most);
+    std::int64_t integer(std::string_view key, std::string_view unit,
+                         std::int64_t least, std::int64_t most);
 
     /// As `whole`, but returns `fallback` for a missing member.
-    std::int64_t whole_or(std::string_view key, std::string_view unit,
-                          std::int64_t least, std::int64_t most,
-                          std::int64_t fallback);
+    std::int64_t integer_or(std::string_view key, std::string_view unit,
+                            std::int64_t least, std::int64_t most,
+                            std::int64_t fallback);
 
     /// Returns a number in [least, most], which may have a fraction, or
     /// `fallback` for a missing member; a fault names its `unit`.
-    double real_or(std::string_view key, std::string_view unit, double least,
-                   double most, double fallback);
+    double number_or(std::string_view key, std::string_view unit, double least,
+                     double most, double fallback);
 
     bool boolean_or(std::string_view key, bool fallback);
 
--- a/include/caperpath/config/store.hpp
+++ b/include/caperpath/config/store.hpp
@@ -68,8 +68,8 @@
 {
     patch_status status{patch_status::unavailable};
     std::uint64_t version{};     ///< the new version, or the version in force
-    bool repeated{};             ///< accepted earlier under the same id
-    bool same_paths{};           ///< conflict: the patch touches changed paths
+    bool already_accepted{};     ///< accepted earlier under the same id
+    bool paths_overlap{};        ///< conflict: the patch touches changed paths
     std::vector<change> changed; ///< conflict: changes since the base
     std::vector<fault> faults;
     error problem; ///< step and peer if unavailable or unknown
@@ -86,24 +86,25 @@
 std::string drain_key(incarnation_id const& router);
 
 /// The result of one poll of the store by a router. Immutable value.
-struct poll_answer
+struct poll_response
 {
     version_pointer current;
-    bool drain_ordered{};
+    bool drain_commanded{};
 
-    friend bool operator==(poll_answer const&, poll_answer const&) = default;
+    friend bool operator==(poll_response const&,
+                           poll_response const&) = default;
 };
 
 /// Reads the current version and the drain row in one read of the table, so
 /// that drain commands cost no extra read. Blocks; thread safe.
-result<poll_answer> read_poll(store::port const& port,
-                              incarnation_id const& router);
+result<poll_response> read_poll(store::port const& port,
+                                incarnation_id const& router);
 
 /// Commands a router to drain. A drain is never revoked, since a replaced
 /// router has another incarnation; a retry is harmless. Blocks; thread safe.
-store::commit_result order_drain(store::port const& port,
-                                 incarnation_id const& router,
-                                 std::string const& author, instant at);
+store::commit_result command_drain(store::port const& port,
+                                   incarnation_id const& router,
+                                   std::string const& author, instant at);
 
 /// Loads the object that a pointer names and checks its text against the hash
 /// in its name. Blocks; thread safe.
--- a/include/caperpath/controllers/limit_controller.hpp
+++ b/include/caperpath/controllers/limit_controller.hpp
@@ -10,8 +10,9 @@
 {
 
 /// Starts the actor that owns every customer's limit state at this router and
-/// returns a port to it. The port rejects with `too_many_open` if the actor
-/// does not reply within 1 s. The actor ends with the system. Thread safe.
+/// returns a port to it. The port rejects with `concurrency_exceeded` if the
+/// actor does not reply within 1 s. The actor ends with the system. Thread
+/// safe.
 /// @pre `system` outlives the port
 routing::limit_port make_limit_port(caf::actor_system& system, clock time);
 
--- a/include/caperpath/fleet/attempt.hpp
+++ b/include/caperpath/fleet/attempt.hpp
@@ -12,9 +12,9 @@
 {
 
 /// How an attempt ended.
-enum class attempt_end
+enum class attempt_outcome
 {
-    answered,     ///< complete response: success, or an error of the request
+    responded,    ///< complete response: success, or an error of the request
     failed,       ///< the server responded that its run failed
     not_reached,  ///< no connection: nothing was sent
     not_run,      ///< the server reports that it did not run the request
@@ -47,13 +47,13 @@
 
 /// True if the request may be sent to another server after `end`. The calling
 /// code must also check the fleet's retry limit. Thread safe.
-bool may_send_again(attempt_state const& state, attempt_end end);
+bool may_try_another_server(attempt_state const& state, attempt_outcome end);
 
 /// The HTTP status of the final response to a request without a response from a
 /// server. It says "not run" (503) only if no server can have run the request:
 /// the caller then retries, and an order that did run would be placed twice.
 /// Thread safe.
-int final_status(attempt_state const& state, attempt_end end);
+int final_status(attempt_state const& state, attempt_outcome end);
 
 } // namespace caperpath::fleet
 
--- a/include/caperpath/fleet/crash_record.hpp
+++ b/include/caperpath/fleet/crash_record.hpp
@@ -74,7 +74,7 @@
 
 /// Records a complete response. Returns true if it cleared the request. Thread
 /// safe.
-bool note_answer(crash_record& in, fingerprint const& request, instant now);
+bool note_response(crash_record& in, fingerprint const& request, instant now);
 
 /// Merges another router's evidence. Returns true if it was new. Thread safe.
 bool merge_evidence(crash_record& in, fingerprint const& request,
--- a/include/caperpath/fleet/event_splitter.hpp
+++ b/include/caperpath/fleet/event_splitter.hpp
@@ -12,7 +12,7 @@
 /// in the middle of an event; if the first half were forwarded, the caller
 /// would join it with the complete event that another server sends. Only
 /// complete events are therefore forwarded. Not thread safe.
-class event_scan
+class event_splitter
 {
 public:
     /// Adds `bytes` and returns the bytes of the events that are now complete,
--- a/include/caperpath/fleet/membership.hpp
+++ b/include/caperpath/fleet/membership.hpp
@@ -29,7 +29,7 @@
 struct call_times
 {
     instant sent{};
-    instant answered{};
+    instant received{};
 
     friend bool operator==(call_times const&, call_times const&) = default;
 };
@@ -46,7 +46,7 @@
 };
 
 /// The routers in the latest read of the heartbeat rows.
-struct roster
+struct membership
 {
     std::map<incarnation_id, member> members;
     /// Routers missing from a read, with the time the read ended.
@@ -57,7 +57,7 @@
     instant observed{};
     call_times read; ///< the latest read; 0 before the first
 
-    friend bool operator==(roster const&, roster const&) = default;
+    friend bool operator==(membership const&, membership const&) = default;
 };
 
 inline constexpr duration heartbeat_interval{4'000};
@@ -81,30 +81,31 @@
 /// its last change on this router's clock, since other routers' clocks may
 /// jump. A gap in which reads failed counts as one heartbeat, since renewals
 /// may have failed as well. Thread safe.
-roster seen(roster known, std::vector<heartbeat> const& rows,
-            call_times const& read);
+membership update_membership(membership known,
+                             std::vector<heartbeat> const& rows,
+                             call_times const& read);
 
 /// The number of routers alive at the latest read, this one included; at least
 /// 1. Thread safe.
-std::int64_t alive(roster const& known);
+std::int64_t live_router_count(membership const& known);
 
 /// The number of VMs with a live router; routers at the same address count
 /// once. At least 1. Thread safe.
-std::int64_t alive_vms(roster const& known);
+std::int64_t alive_vms(membership const& known);
 
 /// The live routers by their address for messages. Of two at one address, the
 /// one whose row changed last. Thread safe.
-std::map<std::string, incarnation_id> live_routers(roster const& known);
+std::map<std::string, incarnation_id> live_routers(membership const& known);
 
 /// The dead routers whose rows `self` removes: those for which `self` is the
 /// next live router by id. If every router removed all of them, a restarted
 /// fleet of n routers would send n x n writes at once, and the store would
 /// reject other calls. Thread safe.
-std::vector<incarnation_id> dead(roster const& known,
-                                 incarnation_id const& self);
+std::vector<incarnation_id> dead_routers_to_remove(membership const& known,
+                                                   incarnation_id const& self);
 
 /// The interval between two reads of all rows. Thread safe.
-duration read_interval(roster const& known);
+duration read_interval(membership const& known);
 
 } // namespace caperpath::fleet
 
--- a/include/caperpath/fleet/placement.hpp
+++ b/include/caperpath/fleet/placement.hpp
@@ -17,7 +17,7 @@
 {
 
 /// What placement needs to know of one request. Immutable value.
-struct work
+struct placement_request
 {
     service_id service;
     /// Identifies the longest prompt prefix that requests share; 0 if none.
@@ -26,16 +26,17 @@
     token_count prompt_tokens{}; ///< the whole prompt
     token_count output_tokens{}; ///< at most
 
-    friend bool operator==(work const&, work const&) = default;
+    friend bool operator==(placement_request const&,
+                           placement_request const&) = default;
 };
 
 /// The shared prompt prefixes that this router recently sent to each server.
-class prompt_memory
+class prefix_history
 {
 public:
     /// Keeps at most `capacity` prefixes. Once full, evicts the expired ones,
     /// or an arbitrary one if none has expired.
-    explicit prompt_memory(std::size_t capacity);
+    explicit prefix_history(std::size_t capacity);
 
     void note(backend_server_id const& server, std::uint64_t part, instant now);
 
@@ -86,8 +87,9 @@
 /// The expected time in ms until `one` begins its response to `item`.
 /// `holds_prefix`: whether the server is assumed to have the shared prefix in
 /// memory. Thread safe.
-double expected_ms(server const& one, service const& of, work const& item,
-                   bool holds_prefix, engine_speed const& speed, instant now);
+double expected_ms(server const& one, service const& of,
+                   placement_request const& item, bool holds_prefix,
+                   engine_speed const& speed, instant now);
 
 /// The server chosen for a request, with the expected time until its response
 /// begins.
@@ -111,10 +113,11 @@
 /// penalty for each rank in that order. A prefix therefore stays at one server
 /// while that server is the fastest, and all routers move it to the same second
 /// server otherwise. Thread safe.
-std::optional<placement> place(server_table const& table, service const& of,
-                               work const& item, prompt_memory const& memory,
-                               std::vector<backend_server_id> const& avoid,
-                               engine_speed const& speed, instant now);
+std::optional<placement>
+choose_placement(server_table const& table, service const& of,
+                 placement_request const& item, prefix_history const& memory,
+                 std::vector<backend_server_id> const& avoid,
+                 engine_speed const& speed, instant now);
 
 /// A hash that is the same in every process. Thread safe.
 std::uint64_t stable_hash(std::string_view text);
--- a/include/caperpath/fleet/retry_allowance.hpp
+++ b/include/caperpath/fleet/retry_allowance.hpp
@@ -40,25 +40,27 @@
 duration view_lifetime(std::int64_t sharers);
 
 /// The lease that a router's own heartbeat row gives it. Immutable value.
-struct slack_lease
+struct retry_allowance_lease
 {
     std::optional<instant> held_since; ///< response to the first heartbeat
     instant renewed_at{}; ///< send time of the newest acknowledged one
 
-    friend bool operator==(slack_lease const&, slack_lease const&) = default;
+    friend bool operator==(retry_allowance_lease const&,
+                           retry_allowance_lease const&) = default;
 };
 
 /// The lease after the store acknowledged the heartbeat `beat`. It begins anew
 /// after a gap in which others may have stopped counting this router. Thread
 /// safe.
-slack_lease renewed(slack_lease const& before, call_times const& beat,
-                    duration window);
+retry_allowance_lease renewed(retry_allowance_lease const& before,
+                              call_times const& beat, duration window);
 
 /// The number of routers that divide the retry allowance of a `window`, `self`
 /// included; 0 if `self` may use none now. Thread safe.
-std::int64_t slack_sharers(roster const& known, slack_lease const& own,
-                           incarnation_id const& self, duration window,
-                           instant now);
+std::int64_t retry_allowance_sharers(membership const& known,
+                                     retry_allowance_lease const& own,
+                                     incarnation_id const& self,
+                                     duration window, instant now);
 
 } // namespace caperpath::fleet
 
--- a/include/caperpath/fleet/retry_window.hpp
+++ b/include/caperpath/fleet/retry_window.hpp
@@ -19,21 +19,21 @@
 struct retry_limit
 {
     double ratio{0.2};
-    double slack{0};
+    double allowance{0};
     duration window{10'000};
 
     friend bool operator==(retry_limit const&, retry_limit const&) = default;
 };
 
 /// How much of its part of the limit one router used for a service.
-struct repeat_use
+struct retry_use
 {
     service_id service;
     std::int64_t requests{}; ///< in the window and the one before it
-    std::int64_t repeats{};  ///< in the window
-    std::int64_t denied{};   ///< rejected retries since the last report
+    std::int64_t retries{};  ///< in the window
+    std::int64_t rejected{}; ///< rejected retries since the last report
 
-    friend bool operator==(repeat_use const&, repeat_use const&) = default;
+    friend bool operator==(retry_use const&, retry_use const&) = default;
 };
 
 /// Counts the requests and the retries of one router. When a server fails, all
@@ -67,7 +67,7 @@
 
     /// The services with a retry in the window or a rejected one since the last
     /// report; resets the counts of rejected retries.
-    std::vector<repeat_use> report(instant now);
+    std::vector<retry_use> report(instant now);
 
 private:
     struct counts
--- a/include/caperpath/fleet/server_table.hpp
+++ b/include/caperpath/fleet/server_table.hpp
@@ -24,7 +24,7 @@
     std::string address; ///< "IP:port"
     failure_domain_id failure_domain;
     std::int64_t slots{1};
-    bool leaving{false};
+    bool draining{false};
     std::int64_t born_ms{}; ///< Unix time of its start; 0 if unknown
     duration warm_up_left{};
 
@@ -114,7 +114,7 @@
 
 /// True if the server takes no new requests: it reports that it is draining, or
 /// its entry is gone.
-bool is_leaving(server const& one, instant now);
+bool is_draining(server const& one, instant now);
 
 /// Records a failure caused by the server. After `failures_to_set_aside` in a
 /// row the server gets no requests for a time that doubles with each further
--- a/include/caperpath/fleet/shutdown.hpp
+++ b/include/caperpath/fleet/shutdown.hpp
@@ -16,7 +16,7 @@
 {
     instant began;           ///< reports not ready from here on
     instant out_of_rotation; ///< the load balancer sends no more requests
-    instant answers_due;     ///< each request that was read has its response
+    instant responses_due;   ///< each request that was read has its response
     instant exit_due;        ///< the process ends even with work left
 
     friend bool operator==(shutdown_schedule const&,
--- a/include/caperpath/fleet/uplink.hpp
+++ b/include/caperpath/fleet/uplink.hpp
@@ -24,7 +24,7 @@
 };
 
 /// Value type.
-struct own_link
+struct uplink
 {
     duration unconfirmed_for{}; ///< since the store confirmed the configuration
     instant updated_at{-1'000'000};
@@ -33,24 +33,24 @@
     connect_results previous;
     instant shedding_until{-1'000'000};
 
-    friend bool operator==(own_link const&, own_link const&) = default;
+    friend bool operator==(uplink const&, uplink const&) = default;
 };
 
 /// Records that the store confirmed the newest configuration. Thread safe.
-own_link confirmed(own_link of);
+uplink note_configuration_confirmed(uplink of);
 
 /// Records whether a server responded to a connect. Thread safe.
-own_link server_tried(own_link of, bool answered, instant now);
+uplink note_connect_result(uplink of, bool answered, instant now);
 
 /// Advances the state to `now`. Only `max_update_gap` of a longer gap between
 /// calls counts: the process did not run in it, which says nothing about the
 /// link. Thread safe.
-own_link looked_at(own_link of, instant now);
+uplink advance_time(uplink of, instant now);
 
 /// True if new callers should go to other routers: the configuration is not
 /// confirmed and most connects get no response, now or within `shedding_time`.
 /// Thread safe.
-bool sheds_callers(own_link const& of, instant now);
+bool sheds_callers(uplink const& of, instant now);
 
 /// Twice the interval at which the store responds to a follower of an unchanged
 /// configuration, and less than the time a configuration takes to come into
--- a/include/caperpath/request/chat_request.hpp
+++ b/include/caperpath/request/chat_request.hpp
@@ -30,11 +30,11 @@
 /// `document`; the rejection names the invalid field and costs the caller
 /// nothing. `max_tokens` and `max_completion_tokens` are synonyms, in tokens;
 /// the default is the model's limit.
-std::variant<chat_request, refusal>
+std::variant<chat_request, rejection>
 parse_chat_request(std::string_view body, config::document const& document);
 
 /// Thread safe. Returns a 400 "invalid_request_error" for the field `param`.
-refusal invalid_request(std::string param, std::string message);
+rejection invalid_request(std::string param, std::string message);
 
 } // namespace caperpath::request
 
--- a/include/caperpath/request/claim.hpp
+++ b/include/caperpath/request/claim.hpp
@@ -14,13 +14,14 @@
 {
 
 /// A finished response, stored for retries of the same request.
-struct kept_answer
+struct stored_response
 {
     int status{};
     std::string content_type;
     std::string body;
 
-    friend bool operator==(kept_answer const&, kept_answer const&) = default;
+    friend bool operator==(stored_response const&,
+                           stored_response const&) = default;
 };
 
 /// Requests the exclusive right to run a request with an idempotency key.
@@ -52,7 +53,7 @@
     /// Tokens billed for earlier runs of this request, whose caller
     /// disconnected before the end. Subtract them from the bill of this run.
     token_count billed{};
-    kept_answer answer;
+    stored_response response;
     duration retry_after{};
 
     friend bool operator==(claim_reply const&, claim_reply const&) = default;
@@ -72,7 +73,7 @@
     claim_result result{claim_result::unknown};
     bool idempotent{false};
     token_count billed{}; ///< by this run
-    kept_answer answer;
+    stored_response response;
     /// The bill for `billed`; written in one transaction with the end of the
     /// claim, so that no response is stored without its bill.
     std::optional<budget::bill> bill{};
@@ -81,9 +82,9 @@
 };
 
 /// Result of writing the end of a run.
-enum class claim_end
+enum class finish_result
 {
-    kept,       ///< durable; retries find it
+    stored,     ///< durable; retries find it
     superseded, ///< a later runner owns the claim: bill 0, return an error
     pending     ///< claim still owned; the write is being retried
 };
@@ -95,7 +96,7 @@
 struct claim_port
 {
     std::function<claim_reply(claim_request const&)> begin;
-    std::function<claim_end(claim_finish const&)> finish;
+    std::function<finish_result(claim_finish const&)> finish;
 };
 
 } // namespace caperpath::request
--- a/include/caperpath/request/claim_state.hpp
+++ b/include/caperpath/request/claim_state.hpp
@@ -43,10 +43,10 @@
     std::string ticket;
     std::string body_hash;
     bool idempotent{false};
-    token_count billed{}; ///< over all epochs
-    kept_answer answer;   ///< of `done`; its body may be in `object`
-    std::string object;   ///< name of the object that holds the body
-    instant keep_until{}; ///< wall clock; deleted by its holder after that
+    token_count billed{};     ///< over all epochs
+    stored_response response; ///< of `done`; its body may be in `object`
+    std::string object;       ///< name of the object that holds the body
+    instant keep_until{};     ///< wall clock; deleted by its holder after that
 
     friend bool operator==(claim_row const&, claim_row const&) = default;
 };
@@ -60,7 +60,7 @@
     /// A longer body is stored in an object, since each retry reads and each
     /// write replaces the whole row. A typical order receipt is well below
     /// this.
-    std::size_t most_inline_bytes{4 * 1024};
+    std::size_t max_inline_bytes{4 * 1024};
     duration retry_after{1'000}; ///< for claims in progress elsewhere
 
     friend bool operator==(claim_options const&,
@@ -80,14 +80,15 @@
 };
 
 /// A claim's row as read from the table.
-struct seen_claim
+struct claim_snapshot
 {
     std::optional<claim_row> row;
     std::uint64_t version{};
     /// True if it is proved that the row's holder can never act again.
     bool holder_ended{false};
 
-    friend bool operator==(seen_claim const&, seen_claim const&) = default;
+    friend bool operator==(claim_snapshot const&,
+                           claim_snapshot const&) = default;
 };
 
 /// What to do about a claim that was read: write `txn` if it is set, then
@@ -113,12 +114,12 @@
 /// Decides what to do with a request whose claim is `seen`. `wall_now` is wall
 /// clock time.
 claim_decision decide_claim(claim_request const& asked, claimant const& self,
-                            seen_claim const& seen,
+                            claim_snapshot const& seen,
                             claim_options const& options, instant wall_now);
 
 /// Returns true if `self` wrote the claim `seen`: the write took effect and the
 /// response was lost.
-bool is_own_claim(claimant const& self, seen_claim const& seen);
+bool is_own_claim(claimant const& self, claim_snapshot const& seen);
 
 /// Returns the row that ends the claim `held`. `object` names the object that
 /// holds the body; empty if the body is inline.
--- a/include/caperpath/request/claim_store.hpp
+++ b/include/caperpath/request/claim_store.hpp
@@ -37,7 +37,7 @@
     friend bool operator==(held_claim const&, held_claim const&) = default;
 };
 
-struct begun_claim
+struct begin_result
 {
     claim_reply reply;
     std::optional<held_claim> held; ///< set with the verdict `run`
@@ -45,39 +45,40 @@
     /// may be in the table or appear there later, but no one runs the request.
     /// Call `withdraw_claim` with it until that succeeds; otherwise every retry
     /// would wait for a runner that does not exist.
-    std::optional<held_claim> doubtful;
+    std::optional<held_claim> uncertain;
 };
 
 /// Claims a request; usually takes one write and no read. Waits up to
 /// `asked.wait` for a claim in progress elsewhere and for the store. Blocks.
-begun_claim begin_claim(claim_store const& store, claim_request const& asked,
-                        claimant const& self);
+begin_result begin_claim(claim_store const& store, claim_request const& asked,
+                         claimant const& self);
 
 /// Tries once to write the end of a run. If it returns `pending`, call it again
 /// with the same arguments. If it returns `kept`, it sets `version` to the
 /// row's version. Blocks for the store calls.
-claim_end finish_claim(claim_store const& store, held_claim const& held,
-                       claim_finish const& finish, std::uint64_t& version);
+finish_result finish_claim(claim_store const& store, held_claim const& held,
+                           claim_finish const& finish, std::uint64_t& version);
 
 /// Tries once to withdraw a doubtful claim. Returns true if the claim cannot
 /// block the request any more. Blocks for the store calls.
 bool withdraw_claim(claim_store const& store, held_claim const& doubtful);
 
 /// A row that its holder may delete after `keep_until`.
-struct kept_claim
+struct expiring_claim
 {
     request_id request;
     std::uint64_t version{};
     instant keep_until{}; ///< wall clock
 
-    friend bool operator==(kept_claim const&, kept_claim const&) = default;
+    friend bool operator==(expiring_claim const&,
+                           expiring_claim const&) = default;
 };
 
 /// Deletes expired rows in one transaction; skips rows that have changed since.
 /// Returns false if the store did not confirm it: call it again. Blocks.
 /// @pre at most 50 rows
 bool delete_claims(claim_store const& store,
-                   std::vector<kept_claim> const& expired);
+                   std::vector<expiring_claim> const& expired);
 
 } // namespace caperpath::request
 
--- a/include/caperpath/request/outcome.hpp
+++ b/include/caperpath/request/outcome.hpp
@@ -21,7 +21,7 @@
 std::string_view to_string(outcome kind);
 
 /// A final response other than success. Immutable value.
-struct refusal
+struct rejection
 {
     int status{}; ///< HTTP status code
     outcome kind{outcome::not_run};
@@ -31,7 +31,7 @@
     std::string param;      ///< the invalid field, may be empty
     std::string message;    ///< human-readable sentence
 
-    friend bool operator==(refusal const&, refusal const&) = default;
+    friend bool operator==(rejection const&, rejection const&) = default;
 };
 
 } // namespace caperpath::request
--- a/include/caperpath/request/response.hpp
+++ b/include/caperpath/request/response.hpp
@@ -17,14 +17,14 @@
 {
     enum class kind
     {
-        token,   ///< one token of text at `offset`
-        finish,  ///< the response ended for `finish_reason`
-        counted, ///< carries the token usage in `used`
-        done,    ///< last event of the stream
-        garbled  ///< not an event of the protocol
+        token,    ///< one token of text at `offset`
+        finish,   ///< the response ended for `finish_reason`
+        usage,    ///< carries the token usage in `used`
+        done,     ///< last event of the stream
+        malformed ///< not an event of the protocol
     };
 
-    kind what{kind::garbled};
+    kind type{kind::malformed};
     std::string request; ///< request id in the event, empty if none
     int attempt{};
     std::int64_t offset{};
@@ -41,7 +41,7 @@
 
 /// The part of one response accepted so far, over all its attempts. Immutable
 /// value: `accept` returns the next one.
-struct answer_state
+struct response_state
 {
     request_id request;
     int attempt{1};
@@ -51,30 +51,31 @@
     std::optional<usage> used;
     bool done{false};
 
-    friend bool operator==(answer_state const&, answer_state const&) = default;
+    friend bool operator==(response_state const&,
+                           response_state const&) = default;
 };
 
 enum class acceptance
 {
-    pass,   ///< forward to the caller
-    ignore, ///< contains nothing for the caller
-    cut,    ///< the response reached `max_tokens`: stop
-    broken  ///< wrong exchange or out of order: close the connection
+    pass,     ///< forward to the caller
+    ignore,   ///< contains nothing for the caller
+    truncate, ///< the response reached `max_tokens`: stop
+    broken    ///< wrong exchange or out of order: close the connection
 };
 
-struct accepted
+struct accept_result
 {
-    answer_state state;
+    response_state state;
     acceptance verdict{acceptance::broken};
 };
 
 /// Thread safe, pure. Checks that an event belongs to this request and attempt
 /// and is the next in order. Any other event is `broken` and never forwarded.
-accepted accept(answer_state const& state, engine_event const& event);
+accept_result accept(response_state const& state, engine_event const& event);
 
 /// Thread safe, pure. Returns the state for the next attempt, which resumes at
 /// `next_offset`.
-answer_state next_attempt(answer_state const& state);
+response_state next_attempt(response_state const& state);
 
 } // namespace caperpath::request
 
--- a/include/caperpath/routing/backend_port.hpp
+++ b/include/caperpath/routing/backend_port.hpp
@@ -19,7 +19,7 @@
     config::backend_kind kind{};
     std::string serves; ///< model or service
     std::string policy; ///< policy name in the request's configuration
-    std::vector<backend_server_id> avoid; ///< already tried
+    std::vector<backend_server_id> excluded; ///< already tried
     int attempt{1}; ///< from 2 on, charged to the retry budget
 
     friend bool operator==(choose_request const&,
@@ -48,7 +48,7 @@
 {
     ok,
     overloaded, ///< reported by the server; not a failure
-    leaving,    ///< the server reported that it takes no new work
+    draining,   ///< the server reported that it takes no new work
     failed,     ///< error, lost connection or malformed response
     abandoned   ///< the caller disconnected
 };
--- a/include/caperpath/routing/backend_view.hpp
+++ b/include/caperpath/routing/backend_view.hpp
@@ -20,7 +20,7 @@
     std::string address; ///< "IP:port"
     std::string serves;
     failure_domain_id failure_domain;
-    bool leaving{false};
+    bool draining{false};
 
     std::int64_t outstanding{0}; ///< open requests of this router
     std::int64_t reported_running{0};
@@ -28,8 +28,8 @@
     std::int64_t slots{0};
     instant reported_at;
 
-    std::int64_t failures{0}; ///< consecutive
-    instant set_aside_until;
+    std::int64_t consecutive_failures{0}; ///< consecutive
+    instant ejected_until;
     request::gap_tracker gaps;
 
     friend bool operator==(backend_view const&, backend_view const&) = default;
@@ -39,12 +39,12 @@
 bool usable(backend_view const& backend, instant now);
 
 /// Thread safe, pure. Records a successful exchange; resets the failures.
-backend_view succeeded(backend_view const& backend);
+backend_view record_success(backend_view const& backend);
 
 /// Thread safe, pure. Records an exchange that the server failed. Three or more
 /// consecutive failures eject the server for a time that doubles from 0.5 s to
 /// 8 s. After that it is usable again, and another failure ejects it at once.
-backend_view failed(backend_view const& backend, instant now);
+backend_view record_failure(backend_view const& backend, instant now);
 
 } // namespace caperpath::routing
 
--- a/include/caperpath/routing/limits.hpp
+++ b/include/caperpath/routing/limits.hpp
@@ -32,8 +32,8 @@
 enum class limit_verdict
 {
     admitted,
-    too_many_open,
-    too_fast
+    concurrency_exceeded,
+    rate_exceeded
 };
 
 struct limit_decision
@@ -51,8 +51,8 @@
 
 /// Thread safe, pure. Ends a request and returns `unused` tokens to the bucket.
 /// @pre a matching `admit` returned `admitted`
-limit_state released(limit_state const& state, limits const& bounds,
-                     token_count unused);
+limit_state release(limit_state const& state, limits const& bounds,
+                    token_count unused);
 
 } // namespace caperpath::routing
 
--- a/include/caperpath/routing/policy.hpp
+++ b/include/caperpath/routing/policy.hpp
@@ -19,8 +19,8 @@
 struct choice_input
 {
     instant now;
-    std::uint64_t random{}; ///< new for each choice
-    std::uint64_t turn{};   ///< increases by one per choice
+    std::uint64_t random{};   ///< new for each choice
+    std::uint64_t sequence{}; ///< increases by one per choice
     failure_domain_id own_failure_domain;
 
     friend bool operator==(choice_input const&, choice_input const&) = default;
--- a/src/base/adaptive_timeout.cpp
+++ b/src/base/adaptive_timeout.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-duration wait_for_answer(call_patience const& of, duration longest)
+duration next_call_timeout(adaptive_timeout const& of, duration longest)
 {
     auto const doublings = std::min(of.unanswered, max_doublings);
     auto const usual = static_cast<std::int64_t>(of.usual_ms * mean_multiple);
@@ -24,14 +24,14 @@
     return {std::min(longest.ms, wait)};
 }
 
-call_patience answered(call_patience of, duration took)
+adaptive_timeout after_response(adaptive_timeout of, duration took)
 {
     of.usual_ms += newest_weight * (static_cast<double>(took.ms) - of.usual_ms);
     of.unanswered = 0;
     return of;
 }
 
-call_patience unanswered(call_patience of)
+adaptive_timeout after_timeout(adaptive_timeout of)
 {
     of.unanswered += 1;
     return of;
--- a/src/base/follow_backoff.cpp
+++ b/src/base/follow_backoff.cpp
@@ -16,12 +16,12 @@
 
 } // namespace
 
-duration answer_limit(duration usual, int failures)
+duration first_byte_timeout(duration usual, int failures)
 {
     return {usual.ms << std::clamp(failures, 0, max_timeout_doublings)};
 }
 
-duration retry_pause(int failures, std::size_t salt)
+duration retry_backoff(int failures, std::size_t salt)
 {
     auto const doublings = std::clamp(failures - 1, 0, max_delay_doublings);
     auto const longest = std::min(max_delay_ms, first_delay_ms << doublings);
@@ -36,7 +36,7 @@
     return std::max(last, std::min(last + last, longest));
 }
 
-bool reads_anew(int failures)
+bool needs_full_read(int failures)
 {
     return failures >= failures_to_full_read;
 }
--- a/src/base/stall_detector.cpp
+++ b/src/base/stall_detector.cpp
@@ -3,12 +3,12 @@
 namespace caperpath
 {
 
-transfer_watch watch_transfer(duration longest_stall, instant now)
+stall_detector start_stall_detector(duration longest_stall, instant now)
 {
     return {longest_stall, now, 0};
 }
 
-transfer_watch arrived(transfer_watch of, std::size_t bytes, instant now)
+stall_detector arrived(stall_detector of, std::size_t bytes, instant now)
 {
     of.since_bytes += bytes;
     if (of.since_bytes >= least_progress)
@@ -19,7 +19,7 @@
     return of;
 }
 
-instant stalled_at(transfer_watch const& of)
+instant stall_deadline(stall_detector const& of)
 {
     return of.since + of.longest_stall;
 }
--- a/src/budget/distribution.cpp
+++ b/src/budget/distribution.cpp
@@ -284,7 +284,8 @@
     return found;
 }
 
-std::vector<token_move> gather(budget_stock const& stock, token_count wanted)
+std::vector<token_move> plan_recalls(budget_stock const& stock,
+                                     token_count wanted)
 {
     std::vector<token_move> found;
     for (auto const& [router, one] : stock.routers)
--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -23,10 +23,10 @@
 
 } // namespace
 
-watch_step watch_list(death_watch watch,
-                      std::vector<incarnation_id> const& once_listed,
-                      std::vector<store::listed_vm> const& list,
-                      duration list_lag, instant now)
+watch_step check_vm_list(death_watch watch,
+                         std::vector<incarnation_id> const& once_listed,
+                         std::vector<store::listed_vm> const& list,
+                         duration list_lag, instant now)
 {
     std::set<std::string> present;
     for (auto const& vm : list)
--- a/src/budget/holdings.cpp
+++ b/src/budget/holdings.cpp
@@ -22,7 +22,7 @@
 constexpr duration shortest_lifetime{3'000};
 constexpr std::int64_t reads_in_lifetime = 3;
 
-bool is_current(heard_holding const& one, std::int64_t routers, instant now)
+bool is_current(received_holding const& one, std::int64_t routers, instant now)
 {
     return now - one.at <= holding_lifetime(routers);
 }
@@ -98,8 +98,9 @@
     return static_cast<token_count>(mean + deviations * deviation) + request;
 }
 
-deal deal_for(holdings const& known, vm_id const& self, holding const& own,
-              budget_row const& row, std::int64_t routers, instant now)
+allocation allocation_for(holdings const& known, vm_id const& self,
+                          holding const& own, budget_row const& row,
+                          std::int64_t routers, instant now)
 {
     auto all = add_up(known, self, own, routers, now);
     // Otherwise the first router to start would allocate everything to itself.
@@ -111,7 +112,7 @@
     }
     auto const left = ungranted(row);
     auto const to_allocate = static_cast<double>(all.free + left);
-    deal found;
+    allocation found;
     found.spent_by_all = all.spent;
     found.target =
         static_cast<token_count>(to_allocate * part_of(own.need, all));
@@ -128,7 +129,8 @@
         any_short = any_short || static_cast<double>(has) < short_part * part;
         lack += std::max<token_count>(0, static_cast<token_count>(part) - has);
     }
-    found.others_lack = any_short ? std::max<token_count>(0, lack - left) : 0;
+    found.others_shortage =
+        any_short ? std::max<token_count>(0, lack - left) : 0;
     return found;
 }
 
--- a/src/budget/kept_bills.cpp
+++ b/src/budget/kept_bills.cpp
@@ -83,7 +83,7 @@
     store::commit_result outcome;
     for (int attempt = 0; attempt < max_attempts;)
     {
-        BOOST_LEAF_AUTO(rows, scan_all(port, answered_prefix(holder)));
+        BOOST_LEAF_AUTO(rows, scan_all(port, kept_bill_prefix(holder)));
         if (rows.empty())
         {
             return {};
--- a/src/budget/rows.cpp
+++ b/src/budget/rows.cpp
@@ -146,14 +146,14 @@
     return "ledger/" + holder.value + "/";
 }
 
-std::string answered_key(incarnation_id const& holder, bill const& cost)
+std::string kept_bill_key(incarnation_id const& holder, bill const& cost)
 {
-    return answered_prefix(holder) + cost.request.value + "/" +
+    return kept_bill_prefix(holder) + cost.request.value + "/" +
            std::to_string(cost.tokens) + "-" +
            std::to_string(cost.completion_tokens);
 }
 
-std::string answered_prefix(incarnation_id const& holder)
+std::string kept_bill_prefix(incarnation_id const& holder)
 {
     return "answered/" + holder.value + "/";
 }
--- a/src/budget/settlement.cpp
+++ b/src/budget/settlement.cpp
@@ -42,7 +42,7 @@
         if (one.answer_kept)
         {
             txn.writes.push_back(
-                {answered_key(holder.incarnation, one), std::nullopt});
+                {kept_bill_key(holder.incarnation, one), std::nullopt});
         }
     }
     return txn;
--- a/src/budget/share.cpp
+++ b/src/budget/share.cpp
@@ -70,9 +70,9 @@
 
 bool wait_is_futile(share_state const& state, token_count amount)
 {
-    return state.fruitless && amount >= state.fruitless->amount &&
-           state.seen->version == state.fruitless->budget_version &&
-           state.seen->at - state.fruitless->since >= min_unchanged_time;
+    return state.last_unmet_wait && amount >= state.last_unmet_wait->amount &&
+           state.seen->version == state.last_unmet_wait->budget_version &&
+           state.seen->at - state.last_unmet_wait->since >= min_unchanged_time;
 }
 
 /// True if a wait for no more than `amount` ended without success recently. If
@@ -81,9 +81,9 @@
 bool wait_failed_recently(share_state const& state, token_count amount,
                           instant now)
 {
-    return state.fruitless && amount >= state.fruitless->amount &&
-           now - state.fruitless->last <
-               state.sizes.refuse_at_once * state.seen->row.holders;
+    return state.last_unmet_wait && amount >= state.last_unmet_wait->amount &&
+           now - state.last_unmet_wait->last <
+               state.sizes.reject_at_once_for * state.seen->row.holders;
 }
 
 reserve_reply undecidable(share_state const& state, instant now)
@@ -98,10 +98,10 @@
                                 instant now)
 {
     // Without a connection to the store, this router may not know of a top-up.
-    return state.dealt && !state.has_peers &&
-           row_read_since(state, now - state.sizes.fresh) &&
+    return state.current_allocation && !state.has_peers &&
+           row_read_since(state, now - state.sizes.max_row_age) &&
            amount > state.seen->row.paid - state.seen->row.retired -
-                        state.dealt->spent_by_all;
+                        state.current_allocation->spent_by_all;
 }
 
 reserve_reply exhausted(share_state const& state, token_count amount,
@@ -127,13 +127,15 @@
         return; // the routers that give tokens report when they have none
     }
     auto const version = state.seen->version;
-    if (!state.fruitless || state.fruitless->budget_version != version)
+    if (!state.last_unmet_wait ||
+        state.last_unmet_wait->budget_version != version)
     {
-        state.fruitless = fruitless_wait{amount, version, now, now};
+        state.last_unmet_wait = unmet_wait{amount, version, now, now};
         return;
     }
-    state.fruitless->amount = std::min(state.fruitless->amount, amount);
-    state.fruitless->last = now;
+    state.last_unmet_wait->amount =
+        std::min(state.last_unmet_wait->amount, amount);
+    state.last_unmet_wait->last = now;
 }
 
 /// The rejection of a reservation that does not fit now; empty if it may still
@@ -330,9 +332,9 @@
     return state;
 }
 
-answer_step answer_waiting(share_state state, instant now)
+decision_step decide_waiting(share_state state, instant now)
 {
-    std::vector<answered_reservation> answers;
+    std::vector<decided_reservation> answers;
     std::vector<waiting_reservation> left;
     auto const waiting = std::exchange(state.waiting, {});
     for (auto const& one : waiting)
@@ -347,8 +349,9 @@
         if (reply)
         {
             // A router that rejects requests for lack of tokens needs more.
-            state.rate =
-                state.dealt ? metered(state.rate, one.amount, now) : state.rate;
+            state.rate = state.current_allocation
+                             ? metered(state.rate, one.amount, now)
+                             : state.rate;
             answers.push_back({one.request, *reply});
             continue;
         }
--- a/src/budget/share_holdings.cpp
+++ b/src/budget/share_holdings.cpp
@@ -33,7 +33,7 @@
 bool wanted_by_another(share_state const& state)
 {
     auto const wanted = state.seen->row.wanted;
-    return wanted > 0 && wanted != state.wanting;
+    return wanted > 0 && wanted != state.own_wanted;
 }
 
 /// Tokens to return for another holder that wants some.
@@ -91,8 +91,8 @@
 bool may_reallocate(share_state const& state, instant now)
 {
     auto const holders = state.seen ? state.seen->row.holders : 0;
-    auto const pause =
-        state.sizes.deal_pause + state.sizes.deal_pause_per_holder * holders;
+    auto const pause = state.sizes.allocation_pause +
+                       state.sizes.allocation_pause_per_holder * holders;
     return now - state.moved_at >= pause;
 }
 
@@ -103,9 +103,9 @@
 
 token_count tokens_ahead(share_state const& state)
 {
-    if (state.dealt)
+    if (state.current_allocation)
     {
-        return state.dealt->target;
+        return state.current_allocation->target;
     }
     auto const traffic = state.rate.per_second *
                          static_cast<double>(state.sizes.horizon.ms) /
@@ -115,9 +115,9 @@
 
 token_count most_ahead(share_state const& state)
 {
-    if (state.dealt)
+    if (state.current_allocation)
     {
-        return state.dealt->target;
+        return state.current_allocation->target;
     }
     auto const& row = state.seen->row;
     auto const& sizes = state.sizes;
@@ -144,17 +144,19 @@
     if (wanted_by_another(state))
     {
         auto const spare = free - covered_tokens(state);
-        return state.dealt ? allocated_return(state, spare)
-                           : wanted_return(state, spare);
+        return state.current_allocation ? allocated_return(state, spare)
+                                        : wanted_return(state, spare);
     }
-    if (state.dealt)
+    if (state.current_allocation)
     {
-        auto const target = static_cast<double>(state.dealt->target);
-        auto const gives =
-            state.dealt->others_lack > 0 && state.must_return &&
-            may_reallocate(state, now) && state.waiting.empty() &&
-            static_cast<double>(free) > state.sizes.deal_high * target;
-        return gives ? free - state.dealt->target : 0;
+        auto const target =
+            static_cast<double>(state.current_allocation->target);
+        auto const gives = state.current_allocation->others_shortage > 0 &&
+                           state.must_return && may_reallocate(state, now) &&
+                           state.waiting.empty() &&
+                           static_cast<double>(free) >
+                               state.sizes.return_above_target * target;
+        return gives ? free - state.current_allocation->target : 0;
     }
     auto const ahead = static_cast<double>(tokens_ahead(state));
     auto const idle_factor = state.sizes.idle_factor;
@@ -172,7 +174,7 @@
 token_count refill(share_state const& state, instant now)
 {
     auto const free = free_tokens(state);
-    if (state.dealt && !may_reallocate(state, now))
+    if (state.current_allocation && !may_reallocate(state, now))
     {
         return 0;
     }
--- a/src/budget/share_results.cpp
+++ b/src/budget/share_results.cpp
@@ -38,7 +38,7 @@
                    std::uint64_t version, instant now)
 {
     auto const same_wanted = state.seen && state.seen->row.wanted == row.wanted;
-    auto const since = same_wanted ? state.seen->wish_since : now;
+    auto const since = same_wanted ? state.seen->wanted_since : now;
     state.seen = seen_budget{row, version, now, since};
 }
 
@@ -138,8 +138,8 @@
         auto const version =
             store::written_version(applied, state.seen->version);
         record_budget(state, *planned.budget, version, now);
-        state.wanting =
-            planned.budget->wanted == state.wanting ? state.wanting : 0;
+        state.own_wanted =
+            planned.budget->wanted == state.own_wanted ? state.own_wanted : 0;
     }
     if (planned.share)
     {
@@ -171,7 +171,7 @@
 /// drawn.
 void lower_floor(share_state& state, planned_write const& planned)
 {
-    state.look_first = true;
+    state.read_first = true;
     if (!planned.share && !planned.retires)
     {
         return;
@@ -189,7 +189,7 @@
 
 } // namespace
 
-std::vector<std::string> look_keys(share_state const& state,
+std::vector<std::string> read_keys(share_state const& state,
                                    holder_view const& holder)
 {
     return {budget_key(state.budget),
@@ -197,14 +197,14 @@
             holder_key(holder.incarnation)};
 }
 
-share_state looked(share_state state, holder_view const& holder,
-                   std::vector<store::row> const& rows, instant now)
+share_state after_read(share_state state, holder_view const& holder,
+                       std::vector<store::row> const& rows, instant now)
 {
     state.busy = false;
-    state.look_first = false;
+    state.read_first = false;
     store_reached(state);
     std::vector<store::row> all;
-    for (auto const& key : look_keys(state, holder))
+    for (auto const& key : read_keys(state, holder))
     {
         auto const found = std::find_if(rows.begin(), rows.end(),
                                         [&key](store::row const& one)
@@ -215,7 +215,8 @@
     return state;
 }
 
-share_state noticed(share_state state, store::row const& budget, instant now)
+share_state after_feed_update(share_state state, store::row const& budget,
+                              instant now)
 {
     auto const is_newer = !state.seen || budget.version > state.seen->version;
     if (is_newer && budget.key == budget_key(state.budget))
@@ -225,7 +226,7 @@
     return state;
 }
 
-share_state unchanged(share_state state, instant now)
+share_state after_feed_unchanged(share_state state, instant now)
 {
     if (state.seen)
     {
@@ -234,7 +235,7 @@
     return state;
 }
 
-share_state look_failed(share_state state, instant now)
+share_state after_failed_read(share_state state, instant now)
 {
     state.busy = false;
     store_failed(state, now);
@@ -252,8 +253,8 @@
     return state;
 }
 
-share_state wrote(share_state state, holder_view const& holder,
-                  store::commit_result const& outcome, instant now)
+share_state after_write(share_state state, holder_view const& holder,
+                        store::commit_result const& outcome, instant now)
 {
     state.busy = false;
     auto const planned = std::exchange(state.planned, std::nullopt);
--- a/src/budget/share_steps.cpp
+++ b/src/budget/share_steps.cpp
@@ -41,15 +41,16 @@
 
 bool is_low(share_state const& state, holder_view const& holder)
 {
-    if (state.dealt)
+    if (state.current_allocation)
     {
         return static_cast<double>(free_tokens(state)) <
-               static_cast<double>(state.dealt->target) * state.sizes.deal_low;
+               static_cast<double>(state.current_allocation->target) *
+                   state.sizes.draw_below_target;
     }
     auto const salt = std::hash<incarnation_id>{}(holder.incarnation) +
                       static_cast<std::size_t>(state.share_version);
     auto const range = state.sizes.highest_level - state.sizes.lowest_level;
-    auto const level = state.sizes.lowest_level + range * spread_of(salt);
+    auto const level = state.sizes.lowest_level + range * jitter_fraction(salt);
     auto const ahead = static_cast<double>(tokens_ahead(state));
     return state.last_amount > 0 &&
            static_cast<double>(free_tokens(state)) < ahead * level;
@@ -109,7 +110,7 @@
 table_step read_step(share_state state)
 {
     state.busy = true;
-    return {std::move(state), step_kind::look, {}};
+    return {std::move(state), step_kind::read, {}};
 }
 
 table_step no_step(share_state state)
@@ -124,7 +125,8 @@
     auto budget = state.seen->row;
     budget.granted += tokens;
     budget.holders += is_newcomer(state) ? 1 : 0;
-    auto const is_mine = state.wanting > 0 && budget.wanted == state.wanting;
+    auto const is_mine =
+        state.own_wanted > 0 && budget.wanted == state.own_wanted;
     if ((is_mine && unmet == 0) || ungranted(budget) >= budget.wanted)
     {
         budget.wanted = 0;
@@ -140,7 +142,7 @@
 {
     auto budget = state.seen->row;
     budget.wanted = unmet;
-    state.wanting = unmet;
+    state.own_wanted = unmet;
     return write_step(std::move(state), holder, {std::nullopt, budget, false});
 }
 
@@ -196,12 +198,12 @@
 bool rows_matter(share_state const& state)
 {
     return free_tokens(state) > 0 || !state.waiting.empty() || state.floor ||
-           state.look_first || (state.closing && state.share_version > 0);
+           state.read_first || (state.closing && state.share_version > 0);
 }
 
 bool is_fresh(share_state const& state, instant now)
 {
-    return state.seen && now - state.seen->at <= state.sizes.fresh;
+    return state.seen && now - state.seen->at <= state.sizes.max_row_age;
 }
 
 /// True if a draw would be tried with a fresh row.
@@ -215,7 +217,7 @@
 bool read_is_due(share_state const& state, holder_view const& holder,
                  instant now)
 {
-    if (!state.seen || state.look_first)
+    if (!state.seen || state.read_first)
     {
         return rows_matter(state) || would_draw(state, holder);
     }
@@ -266,7 +268,7 @@
         return publish_wanted_step(std::move(state), holder, lacking.unmet);
     }
     auto const is_mine =
-        state.wanting > 0 && state.seen->row.wanted == state.wanting;
+        state.own_wanted > 0 && state.seen->row.wanted == state.own_wanted;
     if (is_mine && lacking.unmet == 0)
     {
         return publish_wanted_step(std::move(state), holder, 0);
@@ -289,9 +291,10 @@
 table_step next_step(share_state state, holder_view const& holder, instant now)
 {
     auto const must_write = (state.closing && state.share_version > 0) ||
-                            state.floor || state.look_first;
+                            state.floor || state.read_first;
     auto const blocked = state.busy || state.fenced || holder.version == 0 ||
-                         now < state.retry_at || (!state.draws && !must_write);
+                         now < state.retry_at ||
+                         (!state.may_draw_from_store && !must_write);
     if (blocked)
     {
         return no_step(std::move(state));
@@ -301,7 +304,7 @@
     {
         return read_step(std::move(state));
     }
-    if (is_fresh(state, now) && !state.look_first)
+    if (is_fresh(state, now) && !state.read_first)
     {
         return choose_write(std::move(state), holder, now);
     }
--- a/src/budget/share_transfers.cpp
+++ b/src/budget/share_transfers.cpp
@@ -16,13 +16,13 @@
     return state;
 }
 
-share_state received(share_state state, token_count tokens)
+share_state add_received(share_state state, token_count tokens)
 {
     state.received += tokens;
     return state;
 }
 
-share_state handed_over(share_state state, request_id const& request)
+share_state spend_transfer(share_state state, request_id const& request)
 {
     auto const found = state.open.find(request);
     if (found == state.open.end())
@@ -36,10 +36,10 @@
     return state;
 }
 
-answer_step refuse_uncovered(share_state state, duration retry_after,
-                             instant now)
+decision_step reject_uncovered(share_state state, duration retry_after,
+                               instant now)
 {
-    std::vector<answered_reservation> answers;
+    std::vector<decided_reservation> answers;
     std::vector<waiting_reservation> left;
     auto covered = free_tokens(state);
     for (auto const& one : std::exchange(state.waiting, {}))
--- a/src/budget/sizing.cpp
+++ b/src/budget/sizing.cpp
@@ -75,7 +75,7 @@
 {
     return row.wanted > 0 ||
            ungranted(row) <
-               row.paid / std::max<std::int64_t>(1, sizes.near_end_part);
+               row.paid / std::max<std::int64_t>(1, sizes.near_end_divisor);
 }
 
 token_count fair_part(budget_row const& row, sizing const& sizes, bool newcomer)
@@ -109,13 +109,14 @@
 {
     auto const doublings = std::clamp(failures - 1, 0, max_doublings);
     auto const pause = std::min(longest_pause_ms, first_pause_ms << doublings);
-    auto const part = spread_of(salt + static_cast<std::size_t>(failures));
+    auto const part =
+        jitter_fraction(salt + static_cast<std::size_t>(failures));
     // Between half of the pause and all of it.
     auto const half = pause / 2;
     return {half + static_cast<std::int64_t>(static_cast<double>(half) * part)};
 }
 
-double spread_of(std::size_t salt)
+double jitter_fraction(std::size_t salt)
 {
     auto mixed = salt * golden_ratio;
     mixed ^= mixed >> mixing_shift;
@@ -133,7 +134,8 @@
         reservation_waits ? longest_waited_pause_ms : longest_refill_pause_ms;
     auto const doublings = std::clamp(conflicts, 0, max_doublings);
     auto const range = std::min(longest, first_conflict_ms << doublings);
-    auto const part = spread_of(salt + static_cast<std::size_t>(conflicts));
+    auto const part =
+        jitter_fraction(salt + static_cast<std::size_t>(conflicts));
     return {static_cast<std::int64_t>(static_cast<double>(range) * part)};
 }
 
--- a/src/budget/spend_journal.cpp
+++ b/src/budget/spend_journal.cpp
@@ -28,7 +28,7 @@
 /// The short form has two numbers: spent, per second. The long form, of a
 /// router that moved tokens, adds: received, whether there is a share row,
 /// given.
-std::optional<spend_line> decode_limit(nlohmann::json const& text)
+std::optional<spend_limit_curve> decode_limit(nlohmann::json const& text)
 {
     constexpr std::size_t short_form = 2;
     constexpr std::size_t long_form = 5;
@@ -37,7 +37,8 @@
     {
         return std::nullopt;
     }
-    spend_line curve{text[0].get<token_count>(), text[1].get<token_count>()};
+    spend_limit_curve curve{text[0].get<token_count>(),
+                            text[1].get<token_count>()};
     if (is_long_form)
     {
         curve.received = text[2].get<token_count>();
@@ -47,7 +48,7 @@
     return curve;
 }
 
-nlohmann::json encode_limit(spend_line const& curve)
+nlohmann::json encode_limit(spend_limit_curve const& curve)
 {
     if (curve.received == 0 && curve.has_share && curve.given == 0)
     {
@@ -57,9 +58,9 @@
             curve.has_share ? 1 : 0, curve.given};
 }
 
-token_count value_at(spend_line const& curve, std::int64_t ms_later)
+token_count value_at(spend_limit_curve const& curve, std::int64_t ms_later)
 {
-    auto const rising = std::max<std::int64_t>(0, ms_later - flat_for.ms);
+    auto const rising = std::max<std::int64_t>(0, ms_later - flat_period.ms);
     return curve.spent + curve.per_second * rising / ms_per_second;
 }
 
@@ -76,8 +77,9 @@
 token_count limit_by(spend_row const& row, budget_id const& budget,
                      held_tokens const& held, std::int64_t store_ms)
 {
-    auto const found = row.lines.find(budget);
-    auto const curve = found == row.lines.end() ? spend_line{} : found->second;
+    auto const found = row.limits.find(budget);
+    auto const curve =
+        found == row.limits.end() ? spend_limit_curve{} : found->second;
     auto const left =
         held.granted + curve.received - value_at(curve, store_ms - row.at_ms);
     return held.granted + held.received - std::max<token_count>(0, left);
@@ -93,7 +95,7 @@
 std::string encode(spend_row const& row)
 {
     auto lines = nlohmann::json::object();
-    for (auto const& [budget, curve] : row.lines)
+    for (auto const& [budget, curve] : row.limits)
     {
         lines[budget.value] = encode_limit(curve);
     }
@@ -117,7 +119,7 @@
     spend_row row;
     row.router = {reader.text("router")};
     row.address = reader.text("address");
-    row.at_ms = reader.whole("at_ms", "milliseconds", 0, max_int64);
+    row.at_ms = reader.integer("at_ms", "milliseconds", 0, max_int64);
     reader.each_member(
         "lines",
         [&row, &faults](std::string const& name, nlohmann::json const& text,
@@ -131,7 +133,7 @@
                      "expected tokens, tokens/s [, tokens, 0 or 1, tokens]"});
                 return;
             }
-            row.lines[{name}] = *curve;
+            row.limits[{name}] = *curve;
         });
     if (!faults.empty())
     {
@@ -159,7 +161,8 @@
 }
 
 spend_row next_row(spend_journal const& journal,
-                   std::map<budget_id, spend_line> const& wanted, instant now)
+                   std::map<budget_id, spend_limit_curve> const& wanted,
+                   instant now)
 {
     if (journal.pending)
     {
@@ -167,7 +170,7 @@
     }
     auto row = journal.written;
     row.at_ms = store_time(journal, now);
-    row.lines = wanted;
+    row.limits = wanted;
     return row;
 }
 
@@ -199,9 +202,9 @@
     return journal;
 }
 
-std::optional<std::map<budget_id, spend_line>>
-spent_at_most(spend_row const& row, std::string const& own_address,
-              std::int64_t dead_ms)
+std::optional<std::map<budget_id, spend_limit_curve>>
+max_spent_by_dead(spend_row const& row, std::string const& own_address,
+                  std::int64_t dead_ms)
 {
     if (row.address != own_address || row.at_ms <= 0)
     {
@@ -210,8 +213,8 @@
     auto const since = dead_ms - row.at_ms;
     auto const later =
         since + since / clock_margin_divisor + least_clock_margin.ms;
-    std::map<budget_id, spend_line> all;
-    for (auto const& [budget, curve] : row.lines)
+    std::map<budget_id, spend_limit_curve> all;
+    for (auto const& [budget, curve] : row.limits)
     {
         auto& left = all[budget] = curve;
         left.spent = value_at(curve, later);
--- a/src/budget/sweep.cpp
+++ b/src/budget/sweep.cpp
@@ -93,8 +93,8 @@
     BOOST_LEAF_AUTO(list, port.list_vms());
     BOOST_LEAF_AUTO(once_listed, record_listed(port, known, list));
     auto step =
-        watch_list(std::move(watch), intersection(known.active, once_listed),
-                   list, list_lag, now);
+        check_vm_list(std::move(watch), intersection(known.active, once_listed),
+                      list, list_lag, now);
     for (auto const& name : known.fenced)
     {
         step.proofs.push_back({name, proof_kind::absent_after_listed});
--- a/src/config/codec.cpp
+++ b/src/config/codec.cpp
@@ -56,19 +56,19 @@
     reader.each_element("keys",
                         [&](nlohmann::json const& key, std::string const& at)
                         { made.keys.push_back(read_key(key, at, faults)); });
-    if (made.keys.size() > max_keys)
+    if (made.keys.size() > max_customer_keys)
     {
-        reader.reject("keys",
-                      "expected at most " + std::to_string(max_keys) + " keys");
+        reader.reject("keys", "expected at most " +
+                                  std::to_string(max_customer_keys) + " keys");
     }
     made.budget = {reader.text("budget")};
     made.max_concurrent =
-        reader.whole_or("max_concurrent", "open requests", 1, max_open_requests,
-                        made.max_concurrent);
+        reader.integer_or("max_concurrent", "open requests", 1,
+                          max_open_requests, made.max_concurrent);
     made.tokens_per_second =
-        reader.whole_or("tokens_per_second", "tokens a second", 1, max_rate,
-                        made.tokens_per_second);
-    made.priority = static_cast<int>(reader.whole_or(
+        reader.integer_or("tokens_per_second", "tokens a second", 1, max_rate,
+                          made.tokens_per_second);
+    made.priority = static_cast<int>(reader.integer_or(
         "priority", "priority", -max_priority, max_priority, made.priority));
     reader.finish();
     return made;
@@ -99,17 +99,17 @@
     json_reader reader{value, path, faults};
     model made;
     made.prompt_price =
-        reader.whole_or("prompt_price", "budget tokens per model token", 0,
-                        max_price, made.prompt_price);
+        reader.integer_or("prompt_price", "budget tokens per model token", 0,
+                          max_price, made.prompt_price);
     made.completion_price =
-        reader.whole_or("completion_price", "budget tokens per model token", 0,
-                        max_price, made.completion_price);
+        reader.integer_or("completion_price", "budget tokens per model token",
+                          0, max_price, made.completion_price);
     made.max_prompt_tokens =
-        reader.whole_or("max_prompt_tokens", "model tokens", 1,
-                        max_model_tokens, made.max_prompt_tokens);
+        reader.integer_or("max_prompt_tokens", "model tokens", 1,
+                          max_model_tokens, made.max_prompt_tokens);
     made.max_completion_tokens =
-        reader.whole_or("max_completion_tokens", "model tokens", 1,
-                        max_model_tokens, made.max_completion_tokens);
+        reader.integer_or("max_completion_tokens", "model tokens", 1,
+                          max_model_tokens, made.max_completion_tokens);
     reader.finish();
     return made;
 }
@@ -132,8 +132,8 @@
         reader.reject("path_prefix", "expected a path that starts with /");
     }
     made.idempotent = reader.boolean_or("idempotent", false);
-    made.price = reader.whole_or("price", "budget tokens a call", 0, max_rate,
-                                 made.price);
+    made.price = reader.integer_or("price", "budget tokens a call", 0, max_rate,
+                                   made.price);
     reader.finish();
     return made;
 }
@@ -172,7 +172,7 @@
                                         "'.', '_' and '-'");
     }
     made.checks_fencing = reader.boolean_or("checks_fencing", false);
-    made.leaving = reader.boolean_or("leaving", false);
+    made.draining = reader.boolean_or("leaving", false);
     reader.finish();
     return made;
 }
@@ -194,9 +194,9 @@
                                                      : ", did you mean \"" +
                                                            nearest + "\"?"));
     }
-    made.request_timeout = {reader.whole_or("request_timeout_ms",
-                                            "milliseconds", 1, max_timeout_ms,
-                                            made.request_timeout.ms)};
+    made.request_timeout = {reader.integer_or("request_timeout_ms",
+                                              "milliseconds", 1, max_timeout_ms,
+                                              made.request_timeout.ms)};
     reader.finish();
     return made;
 }
@@ -236,7 +236,7 @@
     json_reader reader{value, "", faults};
     document made;
     made.version = static_cast<std::uint64_t>(
-        reader.whole_or("version", "version", 0, max_version, 0));
+        reader.integer_or("version", "version", 0, max_version, 0));
     made.name = reader.text("name", "");
     if (!made.name.empty() && !is_name(made.name))
     {
--- a/src/config/configuration_state.cpp
+++ b/src/config/configuration_state.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-std::uint64_t held_version(view const& source)
+std::uint64_t held_version(configuration_state const& source)
 {
     return source.newest ? source.newest->version : 0;
 }
 
-view confirm(view made)
+configuration_state confirm(configuration_state made)
 {
     made.confirmed =
         made.confirmed ||
@@ -23,7 +23,8 @@
 
 } // namespace
 
-view with_store_version(view const& before, std::uint64_t version)
+configuration_state with_store_version(configuration_state const& before,
+                                       std::uint64_t version)
 {
     // Responses of the store can overtake each other. If the latest response
     // always won, a starting router could serve a replaced version and an
@@ -32,8 +33,9 @@
                     before.confirmed});
 }
 
-view with_document(view const& before,
-                   std::shared_ptr<document const> const& offered)
+configuration_state
+with_document(configuration_state const& before,
+              std::shared_ptr<document const> const& offered)
 {
     if (offered->version <= held_version(before))
     {
@@ -42,7 +44,8 @@
     return confirm({offered, before.store_version, before.confirmed});
 }
 
-std::shared_ptr<document const> in_force(view const& source)
+std::shared_ptr<document const>
+document_in_force(configuration_state const& source)
 {
     // A starting router can only compare with what the store reports. Until the
     // store has responded once and the reported version is loaded, another
@@ -52,7 +55,7 @@
     return source.confirmed ? source.newest : nullptr;
 }
 
-std::uint64_t lag(view const& source)
+std::uint64_t version_lag(configuration_state const& source)
 {
     auto const held = held_version(source);
     return source.store_version > held ? source.store_version - held : 0;
--- a/src/config/document_json.cpp
+++ b/src/config/document_json.cpp
@@ -59,7 +59,7 @@
             {"address", source.address},
             {"failure_domain", source.failure_domain.value},
             {"checks_fencing", source.checks_fencing},
-            {"leaving", source.leaving}};
+            {"leaving", source.draining}};
 }
 
 template <class Id, class Value>
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -107,8 +107,8 @@
     return member->get<std::string>();
 }
 
-std::int64_t json_reader::whole(std::string_view key, std::string_view unit,
-                                std::int64_t least, std::int64_t most)
+std::int64_t json_reader::integer(std::string_view key, std::string_view unit,
+                                  std::int64_t least, std::int64_t most)
 {
     auto const* member = this->find(key);
     bool const is_whole = member != nullptr && member->is_number_integer();
@@ -128,15 +128,15 @@
     return number;
 }
 
-std::int64_t json_reader::whole_or(std::string_view key, std::string_view unit,
-                                   std::int64_t least, std::int64_t most,
-                                   std::int64_t fallback)
+std::int64_t json_reader::integer_or(std::string_view key,
+                                     std::string_view unit, std::int64_t least,
+                                     std::int64_t most, std::int64_t fallback)
 {
-    return this->has(key) ? this->whole(key, unit, least, most) : fallback;
+    return this->has(key) ? this->integer(key, unit, least, most) : fallback;
 }
 
-double json_reader::real_or(std::string_view key, std::string_view unit,
-                            double least, double most, double fallback)
+double json_reader::number_or(std::string_view key, std::string_view unit,
+                              double least, double most, double fallback)
 {
     auto const* member = this->find(key);
     if (member == nullptr)
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -38,13 +38,13 @@
     return "drain/" + router.value;
 }
 
-result<poll_answer> read_poll(store::port const& port,
-                              incarnation_id const& router)
+result<poll_response> read_poll(store::port const& port,
+                                incarnation_id const& router)
 {
     auto const drain = drain_key(router);
     BOOST_LEAF_AUTO(rows, read_rows(port, {current_key, drain}));
-    poll_answer made;
-    made.drain_ordered = find_row(rows, drain) != nullptr;
+    poll_response made;
+    made.drain_commanded = find_row(rows, drain) != nullptr;
     auto const* row = find_row(rows, current_key);
     if (row == nullptr)
     {
@@ -66,12 +66,12 @@
     {
         return fail(*problem);
     }
-    return std::get<poll_answer>(response).current;
+    return std::get<poll_response>(response).current;
 }
 
-store::commit_result order_drain(store::port const& port,
-                                 incarnation_id const& router,
-                                 std::string const& author, instant at)
+store::commit_result command_drain(store::port const& port,
+                                   incarnation_id const& router,
+                                   std::string const& author, instant at)
 {
     auto const value =
         nlohmann::json{{"author", author}, {"at_ms", at.ms}}.dump();
@@ -201,10 +201,10 @@
     auto const found = value_or_error([&] { return find_version(port, name); });
     if (auto const* owner = std::get_if<0>(&found))
     {
-        outcome.repeated = *owner == version;
-        outcome.status =
-            outcome.repeated ? patch_status::accepted : patch_status::invalid;
-        if (!outcome.repeated)
+        outcome.already_accepted = *owner == version;
+        outcome.status = outcome.already_accepted ? patch_status::accepted
+                                                  : patch_status::invalid;
+        if (!outcome.already_accepted)
         {
             outcome.faults.push_back(
                 {"/name",
--- a/src/config/submit_commit.cpp
+++ b/src/config/submit_commit.cpp
@@ -133,7 +133,7 @@
     patch_result made;
     made.status = patch_status::accepted;
     made.version = earlier.version;
-    made.repeated = true;
+    made.already_accepted = true;
     return made;
 }
 
@@ -167,7 +167,7 @@
         return made;
     }
     made.changed = std::get<0>(both);
-    made.same_paths = overlap(touched_paths(request.patch), made.changed);
+    made.paths_overlap = overlap(touched_paths(request.patch), made.changed);
     return made;
 }
 
--- a/src/controllers/backend_controller.cpp
+++ b/src/controllers/backend_controller.cpp
@@ -73,7 +73,7 @@
         view.address = server.address;
         view.serves = server.serves;
         view.failure_domain = server.failure_domain;
-        view.leaving = server.leaving;
+        view.draining = server.draining;
         views.emplace(id, std::move(view));
     }
     state.views = std::move(views);
@@ -88,8 +88,8 @@
     for (auto const& [id, view] : state.views)
     {
         bool const avoided =
-            std::find(request.avoid.begin(), request.avoid.end(), id) !=
-            request.avoid.end();
+            std::find(request.excluded.begin(), request.excluded.end(), id) !=
+            request.excluded.end();
         bool const serves = view.serves == request.serves &&
                             state.configured.at(id).kind == request.kind;
         if (serves && !avoided && usable(view, now))
@@ -110,18 +110,19 @@
     }
     auto const now = options.time.now();
     auto found = candidates(state, request, now);
-    if (found.empty() && !request.avoid.empty())
+    if (found.empty() && !request.excluded.empty())
     {
         // Retry on a server already tried: a new connection to it may work.
         auto unrestricted = request;
-        unrestricted.avoid.clear();
+        unrestricted.excluded.clear();
         found = candidates(state, unrestricted, now);
     }
     if (found.empty())
     {
         return {choice::none_usable, {}, {}, {}};
     }
-    state.retries = retry ? spent(state.retries) : earned(state.retries);
+    state.retries =
+        retry ? debit_retry(state.retries) : credit_request(state.retries);
     auto const policy =
         find_policy(request.policy).value_or(&least_outstanding);
     choice_input const input{now, state.random(), state.turn++,
@@ -140,18 +141,18 @@
     }
     auto& view = found->second;
     view.outstanding = std::max<std::int64_t>(view.outstanding - 1, 0);
-    view.gaps = attempt.gaps.seen > 0 ? attempt.gaps : view.gaps;
+    view.gaps = attempt.gaps.gap_count > 0 ? attempt.gaps : view.gaps;
     switch (attempt.result)
     {
     case attempt_result::ok:
-        view = succeeded(view);
+        view = record_success(view);
         break;
     case attempt_result::failed:
-        view = failed(view, now);
+        view = record_failure(view, now);
         break;
-    case attempt_result::leaving:
+    case attempt_result::draining:
         // This arrives before the server list or the next load report.
-        view.leaving = true;
+        view.draining = true;
         break;
     case attempt_result::overloaded:
     case attempt_result::abandoned:
@@ -172,7 +173,7 @@
     view.reported_queued = load.queued;
     view.slots = load.slots;
     view.reported_at = now - load.age;
-    view.leaving = load.leaving || state.configured.at(load.id).leaving;
+    view.draining = load.leaving || state.configured.at(load.id).draining;
 }
 
 caf::behavior backend_behavior(backend_actor* self,
--- a/src/controllers/budget_actor.cpp
+++ b/src/controllers/budget_actor.cpp
@@ -119,8 +119,8 @@
         promise.deliver(bill_state::durable);
         return promise;
     }
-    auto const may_end =
-        step.may_end || (!step.accepted && !must_be_durable(request.policy));
+    auto const may_end = step.response_may_end ||
+                         (!step.accepted && !must_be_durable(request.policy));
     if (!may_end && !this->settlement.fenced)
     {
         open->second.push_back({promise, now + this->options.durable_wait});
@@ -148,9 +148,9 @@
 void budget_actor::deliver_replies(budget::share_state& share)
 {
     auto step =
-        budget::answer_waiting(std::move(share), this->options.clock.now());
+        budget::decide_waiting(std::move(share), this->options.clock.now());
     share = std::move(step.state);
-    for (auto const& entry : step.answers)
+    for (auto const& entry : step.decisions)
     {
         auto const found = this->pending_reservations.find(entry.request);
         if (found != this->pending_reservations.end())
@@ -184,9 +184,9 @@
     for (auto const& budget : result.budgets)
     {
         auto& share = this->shares.at(budget);
-        share = result.rows ? budget::looked(std::move(share), this->holder,
-                                             *result.rows, now)
-                            : budget::look_failed(std::move(share), now);
+        share = result.rows ? budget::after_read(std::move(share), this->holder,
+                                                 *result.rows, now)
+                            : budget::after_failed_read(std::move(share), now);
     }
     this->pump();
 }
@@ -194,8 +194,8 @@
 void budget_actor::on_write(write_result const& result)
 {
     auto& share = this->shares.at(result.budget);
-    share = budget::wrote(std::move(share), this->holder, result.outcome,
-                          this->options.clock.now());
+    share = budget::after_write(std::move(share), this->holder, result.outcome,
+                                this->options.clock.now());
     this->pump();
 }
 
--- a/src/controllers/budget_pump.cpp
+++ b/src/controllers/budget_pump.cpp
@@ -79,7 +79,7 @@
     for (auto const& budget : budgets)
     {
         for (auto& key :
-             budget::look_keys(this->shares.at(budget), this->holder))
+             budget::read_keys(this->shares.at(budget), this->holder))
         {
             if (key != keys.front())
             {
@@ -113,7 +113,7 @@
         this->deliver_replies(share);
         auto step = budget::next_step(std::move(share), this->holder, now);
         share = std::move(step.state);
-        if (step.kind == budget::step_kind::look)
+        if (step.kind == budget::step_kind::read)
         {
             to_refresh.push_back(budget);
         }
@@ -162,7 +162,7 @@
     {
         auto const salt =
             std::hash<incarnation_id>{}(this->options.incarnation);
-        auto const part = budget::spread_of(salt);
+        auto const part = budget::jitter_fraction(salt);
         auto const ms = static_cast<double>(this->options.sweep_interval.ms);
         this->sweep_at = now + duration{static_cast<std::int64_t>(ms * part)};
     }
--- a/src/controllers/claim_actor.cpp
+++ b/src/controllers/claim_actor.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-using request::claim_end;
 using request::claim_result;
+using request::finish_result;
 
 /// The platform's limit for one transaction.
 constexpr std::size_t max_rows_per_delete = 50;
@@ -35,15 +35,15 @@
 {
     this->tick();
     return {
-        [this](request::begun_claim const& begun)
+        [this](request::begin_result const& begun)
         {
             if (begun.held)
             {
                 this->add_open(*begun.held);
             }
-            if (begun.doubtful)
+            if (begun.uncertain)
             {
-                this->add_uncertain(*begun.doubtful);
+                this->add_uncertain(*begun.uncertain);
             }
         },
         [this](request::claim_finish const& finish)
@@ -82,7 +82,7 @@
                          found->second.held.row.epoch == finish.epoch;
     if (!is_open)
     {
-        promise.deliver(claim_end::superseded);
+        promise.deliver(finish_result::superseded);
         return promise;
     }
     found->second.finish = finish;
@@ -102,7 +102,7 @@
     }
     auto& claim = found->second;
     claim.in_flight = false;
-    if (result.end == claim_end::pending)
+    if (result.end == finish_result::pending)
     {
         claim.failures += 1;
         claim.retry_at =
@@ -117,7 +117,7 @@
     // so its row is not deleted.
     bool const may_delete = claim.finish->result != claim_result::unknown ||
                             claim.finish->idempotent;
-    if (result.end == claim_end::kept && may_delete)
+    if (result.end == finish_result::stored && may_delete)
     {
         auto const until =
             this->options.wall.now() + this->options.claims.retention;
@@ -191,7 +191,7 @@
         }
         if (claim.waiter.pending() && now >= claim.wait_deadline)
         {
-            claim.waiter.deliver(claim_end::pending);
+            claim.waiter.deliver(finish_result::pending);
         }
         if (claim.in_flight || now < claim.retry_at)
         {
@@ -232,7 +232,7 @@
 void claim_actor::pump_deletes()
 {
     auto const now = this->options.wall.now();
-    std::vector<request::kept_claim> expired;
+    std::vector<request::expiring_claim> expired;
     while (!this->deleting && !this->expiring.empty() &&
            this->expiring.front().keep_until <= now &&
            expired.size() < max_rows_per_delete)
@@ -279,7 +279,7 @@
     {
         if (claim.finish && claim.waiter.pending())
         {
-            claim.waiter.deliver(claim_end::pending);
+            claim.waiter.deliver(finish_result::pending);
         }
         LOG(WARNING) << "request=" << id.value
                      << " stopped while its claim was still unfinished";
--- a/src/controllers/claim_actor.hpp
+++ b/src/controllers/claim_actor.hpp
@@ -21,7 +21,7 @@
 struct end_result
 {
     request_id request;
-    request::claim_end end{};
+    request::finish_result end{};
     std::uint64_t version{};
 };
 
@@ -33,7 +33,7 @@
 
 struct delete_result
 {
-    std::vector<request::kept_claim> expired;
+    std::vector<request::expiring_claim> expired;
     bool done{};
 };
 
@@ -97,7 +97,7 @@
     std::size_t next_worker{};
     std::unordered_map<request_id, open_claim> open;
     std::map<std::string, uncertain_claim> uncertain; ///< by ticket
-    std::deque<request::kept_claim> expiring;         ///< oldest first
+    std::deque<request::expiring_claim> expiring;     ///< oldest first
     bool deleting{false};
     std::optional<promise> stopping;
     instant stop_until{};
@@ -105,9 +105,9 @@
 
 } // namespace caperpath::controllers
 
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::request::begun_claim)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::request::begin_result)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::request::claim_finish)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::request::claim_end)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::request::finish_result)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::end_result)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::withdraw_result)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(caperpath::controllers::delete_result)
--- a/src/controllers/claim_controller.cpp
+++ b/src/controllers/claim_controller.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-using request::claim_end;
+using request::finish_result;
 
 /// The controller replies within its own time limit. This margin limits a call
 /// to a controller that has ended or is overloaded.
@@ -188,7 +188,7 @@
     }
 
     request::claim_reply begin(request::claim_request const& asked);
-    claim_end finish(request::claim_finish const& finish);
+    finish_result finish(request::claim_finish const& finish);
     claim_report request_report(stop_request const* stop);
 
     bool stopped{false};
@@ -244,20 +244,21 @@
                                      std::to_string(++this->tickets)};
     auto begun = request::begin_claim(this->store, asked, self);
     auto reply = begun.reply;
-    if (begun.held || begun.doubtful)
+    if (begun.held || begun.uncertain)
     {
         caf::anon_send(this->actor, std::move(begun));
     }
     return reply;
 }
 
-claim_end claim_controller::impl::finish(request::claim_finish const& finish)
+finish_result
+claim_controller::impl::finish(request::claim_finish const& finish)
 {
-    auto end = claim_end::pending;
+    auto end = finish_result::pending;
     caf::scoped_actor self{this->system};
     self->request(this->actor,
                   to_chrono(this->options.finish_wait + reply_margin), finish)
-        .receive([&end](claim_end received) { end = received; },
+        .receive([&end](finish_result received) { end = received; },
                  [](caf::error const&) {});
     return end;
 }
--- a/src/controllers/config_controller.cpp
+++ b/src/controllers/config_controller.cpp
@@ -21,11 +21,11 @@
 struct config_controller::state
 {
     mutable std::mutex mutex;
-    config::view view;
+    config::configuration_state view;
     config_status counts;
     bool drain_ordered{false};
 
-    config::view current_view() const
+    config::configuration_state current_view() const
     {
         std::lock_guard const lock{this->mutex};
         return this->view;
@@ -41,10 +41,10 @@
         return newer;
     }
 
-    void apply_poll(config::poll_answer const& answer)
+    void apply_poll(config::poll_response const& answer)
     {
         std::lock_guard const lock{this->mutex};
-        this->drain_ordered = this->drain_ordered || answer.drain_ordered;
+        this->drain_ordered = this->drain_ordered || answer.drain_commanded;
         if (answer.current.version > 0)
         {
             this->view =
@@ -218,7 +218,7 @@
 {
     return {[shared = this->shared_state]
             {
-                return config::in_force(shared->current_view());
+                return config::document_in_force(shared->current_view());
             }};
 }
 
@@ -237,10 +237,10 @@
 {
     std::lock_guard const lock{this->shared_state->mutex};
     auto result = this->shared_state->counts;
-    auto const served = config::in_force(this->shared_state->view);
+    auto const served = config::document_in_force(this->shared_state->view);
     result.version = served ? served->version : 0;
     result.store_version = this->shared_state->view.store_version;
-    result.lag = config::lag(this->shared_state->view);
+    result.lag = config::version_lag(this->shared_state->view);
     return result;
 }
 
--- a/src/controllers/limit_controller.cpp
+++ b/src/controllers/limit_controller.cpp
@@ -43,7 +43,7 @@
         [self](release_request const& request)
         {
             auto& state = self->state.customers[request.customer];
-            state = released(state, request.bounds, request.unused);
+            state = release(state, request.bounds, request.unused);
         },
     };
 }
@@ -58,8 +58,8 @@
         {
             auto const reply = request_reply<admit_reply>(
                 system, controller, request, reply_timeout);
-            return reply.value_or(
-                admit_reply{limit_verdict::too_many_open, reply_timeout});
+            return reply.value_or(admit_reply{
+                limit_verdict::concurrency_exceeded, reply_timeout});
         },
         [controller](release_request const& request)
         { caf::anon_send(controller, request); },
--- a/src/ctl/drain.cpp
+++ b/src/ctl/drain.cpp
@@ -60,7 +60,7 @@
     }
     auto const& router = std::get<incarnation_id>(found);
     auto const outcome =
-        config::order_drain(run.port, router, run.author, run.wall.now());
+        config::command_drain(run.port, router, run.author, run.wall.now());
     if (outcome.outcome != store::commit_outcome::applied)
     {
         return print_error(run, outcome.fault, true,
--- a/src/ctl/engine.cpp
+++ b/src/ctl/engine.cpp
@@ -130,7 +130,7 @@
             run, {{"ENGINE", "no backend server " + options.engine}});
     }
     auto const& server = found->second;
-    if (wanted.drains && !server.leaving)
+    if (wanted.drains && !server.draining)
     {
         auto const id = fresh_id(run);
         auto const marked = mark_draining(run, id, options.engine);
--- a/src/ctl/session.cpp
+++ b/src/ctl/session.cpp
@@ -88,7 +88,7 @@
 
 int print_conflict(session& run, config::patch_result const& outcome)
 {
-    auto const* const where = outcome.same_paths
+    auto const* const where = outcome.paths_overlap
                                   ? "the patch touches what changed"
                                   : "the patch touches other paths";
     if (run.json)
@@ -102,7 +102,7 @@
         }
         run.out << json{{"conflict",
                          {{"version", outcome.version},
-                          {"same_paths", outcome.same_paths},
+                          {"same_paths", outcome.paths_overlap},
                           {"changed", std::move(changed)}}}}
                 << '\n';
         return exit_conflict;
@@ -206,10 +206,11 @@
     }
     json value = {{"version", outcome.version},
                   {"patch_id", id},
-                  {"repeated", outcome.repeated}};
+                  {"repeated", outcome.already_accepted}};
     std::vector<std::vector<std::string>> table{
-        {"version", std::to_string(outcome.version) +
-                        (outcome.repeated ? " (accepted earlier)" : "")}};
+        {"version",
+         std::to_string(outcome.version) +
+             (outcome.already_accepted ? " (accepted earlier)" : "")}};
     if (extra.is_object())
     {
         for (auto const& [name, member] : extra.items())
--- a/src/filters/account.cpp
+++ b/src/filters/account.cpp
@@ -12,7 +12,7 @@
 // Status that other servers log for a caller that disconnected; never sent.
 constexpr int http_caller_left = 499;
 
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     auto const caller =
         observe::continue_trace(request.in.traceparent, *request.shared.ids);
--- a/src/filters/authenticate.cpp
+++ b/src/filters/authenticate.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view bearer_prefix = "Bearer ";
 
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     request.document = request.shared.configuration();
     if (request.document == nullptr)
@@ -22,13 +22,13 @@
         auto const kind = request.in.idempotency_key.empty()
                               ? request::outcome::not_run
                               : request::outcome::unknown;
-        return request::refusal{http_unavailable,
-                                kind,
-                                {1'000},
-                                "server_error",
-                                "not_ready",
-                                "",
-                                "no configuration has been read yet"};
+        return request::rejection{http_unavailable,
+                                  kind,
+                                  {1'000},
+                                  "server_error",
+                                  "not_ready",
+                                  "",
+                                  "no configuration has been read yet"};
     }
     request.deadline =
         request.received + request.document->routing.request_timeout;
@@ -41,13 +41,13 @@
     }
     if (!found)
     {
-        return request::refusal{http_unauthorized,
-                                request::outcome::not_run,
-                                {},
-                                "authentication_error",
-                                "invalid_api_key",
-                                "Authorization",
-                                "expected \"Bearer KEY\" with a valid key"};
+        return request::rejection{http_unauthorized,
+                                  request::outcome::not_run,
+                                  {},
+                                  "authentication_error",
+                                  "invalid_api_key",
+                                  "Authorization",
+                                  "expected \"Bearer KEY\" with a valid key"};
     }
     request.customer = *found;
     request.customer_settings = &request.document->customers.at(*found);
--- a/src/filters/chain.hpp
+++ b/src/filters/chain.hpp
@@ -16,7 +16,7 @@
 struct filter
 {
     char const* name;
-    std::optional<request::refusal> (*enter)(context& request);
+    std::optional<request::rejection> (*enter)(context& request);
     void (*leave)(context& request);
 };
 
--- a/src/filters/context.cpp
+++ b/src/filters/context.cpp
@@ -73,7 +73,7 @@
            request.shared.time.now().ms >= stop_at->load();
 }
 
-request::refusal shutdown_rejection(bool may_have_run)
+request::rejection shutdown_rejection(bool may_have_run)
 {
     auto const kind =
         may_have_run ? request::outcome::unknown : request::outcome::not_run;
--- a/src/filters/context.hpp
+++ b/src/filters/context.hpp
@@ -112,13 +112,14 @@
         claim_epoch;             ///< set until the claim is finished
     token_count billed_before{}; ///< by earlier runs of this request
     bool stores_response{false}; ///< a retry gets the stored one
-    std::optional<request::kept_answer> response; ///< of a service, or replayed
+    std::optional<request::stored_response>
+        response; ///< of a service, or replayed
     bool replayed{false};
     std::unique_ptr<router::chat_relay> relay;
     std::string chat_text; ///< chat response text received so far
 
     progress state{progress::in_progress};
-    std::optional<request::refusal> rejection;
+    std::optional<request::rejection> rejection;
     request::usage used;
     token_count cost{};
     bool first_token_seen{false};
@@ -139,7 +140,7 @@
 bool shutdown_due(context const& request);
 
 /// The rejection of a request that a planned stop aborts. Thread safe.
-request::refusal shutdown_rejection(bool may_have_run);
+request::rejection shutdown_rejection(bool may_have_run);
 
 /// Returns the next event, or empty after `bound`, or earlier if a planned stop
 /// is due.
--- a/src/filters/dispatch.cpp
+++ b/src/filters/dispatch.cpp
@@ -11,19 +11,19 @@
 namespace
 {
 
-std::optional<request::refusal> call_plain_service(context& request)
+std::optional<request::rejection> call_plain_service(context& request)
 {
     auto outcome = router::call_service(request);
-    if (auto* const rejection = std::get_if<request::refusal>(&outcome))
+    if (auto* const rejection = std::get_if<request::rejection>(&outcome))
     {
         return std::move(*rejection);
     }
-    request.response = std::move(std::get<request::kept_answer>(outcome));
+    request.response = std::move(std::get<request::stored_response>(outcome));
     request.state = progress::completed;
     return std::nullopt;
 }
 
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     if (request.replayed)
     {
--- a/src/filters/drain.cpp
+++ b/src/filters/drain.cpp
@@ -7,7 +7,7 @@
 {
 
 // Later filters may wait for the store although the request cannot complete.
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     if (!shutdown_due(request))
     {
--- a/src/filters/identify.cpp
+++ b/src/filters/identify.cpp
@@ -45,7 +45,7 @@
            std::all_of(key.begin(), key.end(), printable);
 }
 
-request::refusal claim_rejection(request::claim_reply const& reply)
+request::rejection claim_rejection(request::claim_reply const& reply)
 {
     using request::claim_verdict;
     using request::outcome;
@@ -88,7 +88,7 @@
             "the store cannot say whether this request ran before"};
 }
 
-std::optional<request::refusal> acquire_claim(context& request)
+std::optional<request::rejection> acquire_claim(context& request)
 {
     auto const& in = request.in;
     auto const reply = request.shared.claims.begin(
@@ -96,7 +96,7 @@
          request.idempotent(), request.shared.claim_wait});
     if (reply.verdict == request::claim_verdict::replay)
     {
-        request.response = reply.answer;
+        request.response = reply.response;
         request.replayed = true;
         return std::nullopt;
     }
@@ -110,7 +110,7 @@
     return std::nullopt;
 }
 
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     auto const& key = request.in.idempotency_key;
     if (key.empty())
--- a/src/filters/limit.cpp
+++ b/src/filters/limit.cpp
@@ -14,7 +14,7 @@
             request.customer_settings->tokens_per_second};
 }
 
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     if (request.replayed)
     {
@@ -26,8 +26,9 @@
     {
         return std::nullopt;
     }
-    bool const open = reply.verdict == routing::limit_verdict::too_many_open;
-    return request::refusal{
+    bool const open =
+        reply.verdict == routing::limit_verdict::concurrency_exceeded;
+    return request::rejection{
         http_too_many,
         request::outcome::not_run,
         reply.retry_after,
--- a/src/filters/parse.cpp
+++ b/src/filters/parse.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view services_prefix = "/services/";
 
-request::refusal unknown_service(std::string param, std::string message)
+request::rejection unknown_service(std::string param, std::string message)
 {
     auto fault = request::invalid_request(std::move(param), std::move(message));
     fault.status = http_not_found;
@@ -28,7 +28,7 @@
     return method_matches && path.starts_with(call.path_prefix);
 }
 
-std::optional<request::refusal> parse_service_request(context& request)
+std::optional<request::rejection> parse_service_request(context& request)
 {
     std::string_view rest = request.in.path;
     rest.remove_prefix(services_prefix.size());
@@ -57,11 +57,11 @@
     return unknown_service("path", "the service has no such call");
 }
 
-std::optional<request::refusal> parse_chat(context& request)
+std::optional<request::rejection> parse_chat(context& request)
 {
     auto parsed =
         request::parse_chat_request(request.in.body, *request.document);
-    if (auto* const fault = std::get_if<request::refusal>(&parsed))
+    if (auto* const fault = std::get_if<request::rejection>(&parsed))
     {
         return std::move(*fault);
     }
@@ -73,7 +73,7 @@
     return std::nullopt;
 }
 
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     bool const service = request.in.path.starts_with(services_prefix);
     return service ? parse_service_request(request) : parse_chat(request);
--- a/src/filters/reserve.cpp
+++ b/src/filters/reserve.cpp
@@ -16,7 +16,7 @@
         .policy;
 }
 
-request::refusal rejection_of(budget::reserve_reply const& reply)
+request::rejection rejection_of(budget::reserve_reply const& reply)
 {
     if (reply.verdict == budget::reserve_verdict::exhausted)
     {
@@ -37,7 +37,7 @@
             "whether the budget covers this request cannot be told now"};
 }
 
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     if (request.replayed)
     {
@@ -67,7 +67,7 @@
 void withhold_response(context& request)
 {
     request.state = progress::rejected;
-    request.rejection = request::refusal{
+    request.rejection = request::rejection{
         http_bad_gateway,
         request::outcome::unknown,
         {5'000},
--- a/src/filters/store_response.cpp
+++ b/src/filters/store_response.cpp
@@ -23,7 +23,7 @@
 
 // Another router considered this one dead and now runs the request. The two
 // responses may differ, and only the other one is stored and billed.
-request::refusal superseded_rejection()
+request::rejection superseded_rejection()
 {
     return {http_bad_gateway,
             request::outcome::unknown,
@@ -34,7 +34,7 @@
             "this request runs elsewhere; ask again for its answer"};
 }
 
-std::optional<request::refusal> enter(context&)
+std::optional<request::rejection> enter(context&)
 {
     return std::nullopt;
 }
@@ -51,21 +51,22 @@
     auto const finished = request.shared.claims.finish(
         {request.id, *request.claim_epoch, result_of(request),
          request.idempotent(), request.cost_so_far(),
-         request.response.value_or(request::kept_answer{}), request.bill()});
+         request.response.value_or(request::stored_response{}),
+         request.bill()});
     request.claim_epoch.reset();
     // A call that is not idempotent is never run by a second router, so its
     // response is the only one and withholding it would lose it.
     bool const superseded =
-        finished == request::claim_end::superseded && request.idempotent();
+        finished == request::finish_result::superseded && request.idempotent();
     if (superseded)
     {
         request.state = progress::rejected;
         request.rejection = superseded_rejection();
     }
-    if (finished != request::claim_end::kept)
+    if (finished != request::finish_result::stored)
     {
         observe::log_warning({"keep", request.id.value, {}},
-                             finished == request::claim_end::pending
+                             finished == request::finish_result::pending
                                  ? "the response is not stored yet"
                                  : "another router has taken over the claim");
     }
--- a/src/fleet/attempt.cpp
+++ b/src/fleet/attempt.cpp
@@ -18,7 +18,7 @@
     return false;
 }
 
-bool may_send_again(attempt_state const& state, attempt_end end)
+bool may_try_another_server(attempt_state const& state, attempt_outcome end)
 {
     if (state.sends >= max_sends)
     {
@@ -26,29 +26,29 @@
     }
     switch (end)
     {
-    case attempt_end::not_reached:
-    case attempt_end::not_run:
-    case attempt_end::wrong_server:
+    case attempt_outcome::not_reached:
+    case attempt_outcome::not_run:
+    case attempt_outcome::wrong_server:
         return state.runs < state.max_servers;
-    case attempt_end::failed:
-    case attempt_end::in_doubt:
+    case attempt_outcome::failed:
+    case attempt_outcome::in_doubt:
         return may_run_again(state) && state.runs < state.max_servers;
-    case attempt_end::answered:
-    case attempt_end::expired:
-    case attempt_end::caller_gone:
+    case attempt_outcome::responded:
+    case attempt_outcome::expired:
+    case attempt_outcome::caller_gone:
         break;
     }
     return false;
 }
 
-int final_status(attempt_state const& state, attempt_end end)
+int final_status(attempt_state const& state, attempt_outcome end)
 {
     if (state.runs == 0)
     {
         return http_unavailable;
     }
-    return end == attempt_end::expired ? http_gateway_timeout
-                                       : http_bad_gateway;
+    return end == attempt_outcome::expired ? http_gateway_timeout
+                                           : http_bad_gateway;
 }
 
 } // namespace caperpath::fleet
--- a/src/fleet/crash_record.cpp
+++ b/src/fleet/crash_record.cpp
@@ -82,7 +82,7 @@
     return evidence_of(in, request);
 }
 
-bool note_answer(crash_record& in, fingerprint const& request, instant now)
+bool note_response(crash_record& in, fingerprint const& request, instant now)
 {
     auto const known = evidence_of(in, request);
     return known.crashes > 0 &&
--- a/src/fleet/event_splitter.cpp
+++ b/src/fleet/event_splitter.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-std::string event_scan::feed(std::string_view bytes)
+std::string event_splitter::feed(std::string_view bytes)
 {
     // The end of an event may begin in the last three old bytes.
     constexpr std::size_t max_end_overlap = 3;
@@ -53,22 +53,22 @@
     return events;
 }
 
-std::string event_scan::take_rest()
+std::string event_splitter::take_rest()
 {
     return std::exchange(this->pending, {});
 }
 
-std::string const& event_scan::last_id() const
+std::string const& event_splitter::last_id() const
 {
     return this->id;
 }
 
-std::int64_t event_scan::events() const
+std::int64_t event_splitter::events() const
 {
     return this->data_events;
 }
 
-void event_scan::parse_event(std::string_view event)
+void event_splitter::parse_event(std::string_view event)
 {
     auto has_data = false;
     while (!event.empty())
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -22,18 +22,18 @@
 /// A removed router still counts for one window and a margin.
 constexpr duration removed_retention = row_lifetime + heartbeat_interval;
 
-duration silent_for(roster const& known, member const& one)
+duration silent_for(membership const& known, member const& one)
 {
     return known.observed - one.observed_at;
 }
 
-bool is_alive(roster const& known, member const& one)
+bool is_alive(membership const& known, member const& one)
 {
     return silent_for(known, one) <= member_lifetime;
 }
 
 template <class Condition>
-std::vector<incarnation_id> select(roster const& known,
+std::vector<incarnation_id> select(membership const& known,
                                    Condition const& condition)
 {
     std::vector<incarnation_id> all;
@@ -48,28 +48,29 @@
 }
 
 /// The observed time between the latest read and the one that ended at `now`.
-duration observed_interval(roster const& known, instant now)
+duration observed_interval(membership const& known, instant now)
 {
     if (known.read == call_times{})
     {
         return {};
     }
-    auto const pause = now - known.read.answered;
+    auto const pause = now - known.read.received;
     auto const longest = read_interval(known) + heartbeat_interval;
     return pause <= longest ? pause : heartbeat_interval;
 }
 
 } // namespace
 
-roster seen(roster known, std::vector<heartbeat> const& rows,
-            call_times const& read)
+membership update_membership(membership known,
+                             std::vector<heartbeat> const& rows,
+                             call_times const& read)
 {
-    roster next;
-    next.observed = known.observed + observed_interval(known, read.answered);
+    membership next;
+    next.observed = known.observed + observed_interval(known, read.received);
     next.read = read;
     next.removed = std::move(known.removed);
     std::erase_if(next.removed, [&](auto const& entry)
-                  { return read.answered - entry.second > removed_retention; });
+                  { return read.received - entry.second > removed_retention; });
     for (auto const& row : rows)
     {
         auto const before = known.members.find(row.router);
@@ -78,20 +79,20 @@
         next.members[row.router] = unchanged
                                        ? before->second
                                        : member{row.address, row.version,
-                                                read.answered, next.observed};
+                                                read.received, next.observed};
         next.removed.erase(row.router);
     }
     for (auto const& [router, unused] : known.members)
     {
         if (!next.members.contains(router))
         {
-            next.removed.emplace(router, read.answered);
+            next.removed.emplace(router, read.received);
         }
     }
     return next;
 }
 
-std::int64_t alive(roster const& known)
+std::int64_t live_router_count(membership const& known)
 {
     auto const count = std::count_if(known.members.begin(), known.members.end(),
                                      [&](auto const& entry)
@@ -99,7 +100,7 @@
     return std::max<std::int64_t>(1, count);
 }
 
-std::int64_t alive_vms(roster const& known)
+std::int64_t alive_vms(membership const& known)
 {
     std::set<std::string_view> addresses;
     for (auto const& [id, one] : known.members)
@@ -118,7 +119,7 @@
     return {static_cast<std::int64_t>(delay_ms)};
 }
 
-std::map<std::string, incarnation_id> live_routers(roster const& known)
+std::map<std::string, incarnation_id> live_routers(membership const& known)
 {
     std::map<std::string, incarnation_id> live;
     for (auto const& [id, one] : known.members)
@@ -137,8 +138,8 @@
     return live;
 }
 
-std::vector<incarnation_id> dead(roster const& known,
-                                 incarnation_id const& self)
+std::vector<incarnation_id> dead_routers_to_remove(membership const& known,
+                                                   incarnation_id const& self)
 {
     auto all = select(known, [&](member const& one)
                       { return silent_for(known, one) > row_lifetime; });
@@ -159,7 +160,7 @@
     return all;
 }
 
-duration read_interval(roster const& known)
+duration read_interval(membership const& known)
 {
     auto const count = static_cast<std::int64_t>(known.members.size());
     return std::clamp(read_pause_per_member * count, heartbeat_interval,
--- a/src/fleet/placement.cpp
+++ b/src/fleet/placement.cpp
@@ -43,7 +43,7 @@
 }
 
 double expected_engine_ms(server const& one, service const& of,
-                          work const& item, bool holds_prefix,
+                          placement_request const& item, bool holds_prefix,
                           engine_speed const& speed, instant now)
 {
     auto const open = open_requests(one, now);
@@ -96,7 +96,7 @@
 };
 
 std::vector<candidate> candidates(server_table const& table, service const& of,
-                                  work const& item,
+                                  placement_request const& item,
                                   std::vector<backend_server_id> const& avoid,
                                   instant now)
 {
@@ -136,12 +136,12 @@
 
 } // namespace
 
-prompt_memory::prompt_memory(std::size_t capacity) : capacity{capacity}
+prefix_history::prefix_history(std::size_t capacity) : capacity{capacity}
 {
 }
 
-void prompt_memory::note(backend_server_id const& server, std::uint64_t part,
-                         instant now)
+void prefix_history::note(backend_server_id const& server, std::uint64_t part,
+                          instant now)
 {
     if (part == 0)
     {
@@ -163,8 +163,8 @@
     all.push_back({server, now});
 }
 
-bool prompt_memory::holds(backend_server_id const& server, std::uint64_t part,
-                          instant now) const
+bool prefix_history::holds(backend_server_id const& server, std::uint64_t part,
+                           instant now) const
 {
     auto const found = this->uses.find(part);
     return found != this->uses.end() &&
@@ -175,7 +175,7 @@
                        });
 }
 
-void prompt_memory::forget(backend_server_id const& server)
+void prefix_history::forget(backend_server_id const& server)
 {
     for (auto entry = this->uses.begin(); entry != this->uses.end();)
     {
@@ -186,8 +186,9 @@
     }
 }
 
-double expected_ms(server const& one, service const& of, work const& item,
-                   bool holds_prefix, engine_speed const& speed, instant now)
+double expected_ms(server const& one, service const& of,
+                   placement_request const& item, bool holds_prefix,
+                   engine_speed const& speed, instant now)
 {
     auto const base =
         of.memory_tokens > 0
@@ -197,10 +198,11 @@
     return base * std::max(1.0, one.slowness) * warm;
 }
 
-std::optional<placement> place(server_table const& table, service const& of,
-                               work const& item, prompt_memory const& memory,
-                               std::vector<backend_server_id> const& avoid,
-                               engine_speed const& speed, instant now)
+std::optional<placement>
+choose_placement(server_table const& table, service const& of,
+                 placement_request const& item, prefix_history const& memory,
+                 std::vector<backend_server_id> const& avoid,
+                 engine_speed const& speed, instant now)
 {
     auto const all = candidates(table, of, item, avoid, now);
     std::optional<placement> best;
--- a/src/fleet/retry_allowance.cpp
+++ b/src/fleet/retry_allowance.cpp
@@ -17,8 +17,9 @@
     return lease_time + window + clock_margin;
 }
 
-bool may_use_allowance(roster const& known, slack_lease const& own,
-                       duration window, std::int64_t sharers, instant now)
+bool may_use_allowance(membership const& known,
+                       retry_allowance_lease const& own, duration window,
+                       std::int64_t sharers, instant now)
 {
     if (!own.held_since || now - own.renewed_at > lease_time)
     {
@@ -40,18 +41,19 @@
            heartbeat_interval * reads_per_view;
 }
 
-slack_lease renewed(slack_lease const& before, call_times const& beat,
-                    duration window)
+retry_allowance_lease renewed(retry_allowance_lease const& before,
+                              call_times const& beat, duration window)
 {
     auto const unbroken =
         before.held_since &&
-        beat.answered - before.renewed_at < lease_time + window;
-    return {unbroken ? before.held_since : beat.answered, beat.sent};
+        beat.received - before.renewed_at < lease_time + window;
+    return {unbroken ? before.held_since : beat.received, beat.sent};
 }
 
-std::int64_t slack_sharers(roster const& known, slack_lease const& own,
-                           incarnation_id const& self, duration window,
-                           instant now)
+std::int64_t retry_allowance_sharers(membership const& known,
+                                     retry_allowance_lease const& own,
+                                     incarnation_id const& self,
+                                     duration window, instant now)
 {
     auto const others = std::count_if(
         known.members.begin(), known.members.end(),
--- a/src/fleet/retry_window.cpp
+++ b/src/fleet/retry_window.cpp
@@ -53,7 +53,8 @@
 {
     auto const& service_counts = this->current(service, now);
     auto const slack =
-        sharers > 0 ? this->limit.slack / static_cast<double>(sharers) : 0.0;
+        sharers > 0 ? this->limit.allowance / static_cast<double>(sharers)
+                    : 0.0;
     auto const remaining_in_window =
         [&](instant first, std::int64_t retries_in_window)
     {
@@ -100,9 +101,9 @@
     return false;
 }
 
-std::vector<repeat_use> retry_window::report(instant now)
+std::vector<retry_use> retry_window::report(instant now)
 {
-    std::vector<repeat_use> all;
+    std::vector<retry_use> all;
     for (auto const& [service, unused] : this->services)
     {
         auto& service_counts = this->current(service, now);
--- a/src/fleet/server_table.cpp
+++ b/src/fleet/server_table.cpp
@@ -57,7 +57,7 @@
     // get no requests two seconds later.
     auto const settled_at =
         table.store_back_at ? *table.store_back_at + entry_return_time : now;
-    one.entry.leaving = one.entry.leaving || now >= settled_at;
+    one.entry.draining = one.entry.draining || now >= settled_at;
     one.gone_from = std::max(now, settled_at);
 }
 
@@ -99,7 +99,7 @@
     std::vector<backend_server_id> gone;
     for (auto& [id, one] : table.servers)
     {
-        if (is_leaving(one, now) && one.gone_from && one.own.open == 0)
+        if (is_draining(one, now) && one.gone_from && one.own.open == 0)
         {
             gone.push_back(id);
         }
@@ -111,15 +111,15 @@
     return gone;
 }
 
-bool is_leaving(server const& one, instant now)
+bool is_draining(server const& one, instant now)
 {
     auto const gone = one.gone_from && now >= *one.gone_from;
-    return one.entry.leaving || gone;
+    return one.entry.draining || gone;
 }
 
 bool usable(server const& one, instant now)
 {
-    return !is_leaving(one, now) && now >= one.set_aside_until;
+    return !is_draining(one, now) && now >= one.set_aside_until;
 }
 
 void note_failure(server& one, bool decisive, instant now)
--- a/src/fleet/shutdown.cpp
+++ b/src/fleet/shutdown.cpp
@@ -60,7 +60,7 @@
         return true;
     }
     auto const end = expected ? std::min(now + *expected, deadline) : deadline;
-    return now < stop.answers_due && end <= stop.answers_due;
+    return now < stop.responses_due && end <= stop.responses_due;
 }
 
 bool may_exit(shutdown_schedule const& stop, instant now,
@@ -76,7 +76,7 @@
     }
     // New connections may keep arriving; those without a request need no
     // response.
-    auto const connections = left.connections && now < stop.answers_due;
+    auto const connections = left.connections && now < stop.responses_due;
     auto const shares =
         left.returning_since && now < *left.returning_since + longest_return;
     return !connections && !shares;
--- a/src/fleet/uplink.cpp
+++ b/src/fleet/uplink.cpp
@@ -13,7 +13,7 @@
 /// A single failed server can cause fewer.
 constexpr std::int64_t min_silent = 8;
 
-own_link in_current_window(own_link of, instant now)
+uplink in_current_window(uplink of, instant now)
 {
     auto const age = now - of.window_began;
     if (age < window)
@@ -26,7 +26,7 @@
     return of;
 }
 
-bool is_saturated(own_link const& of)
+bool is_saturated(uplink const& of)
 {
     auto const silent = of.current.silent + of.previous.silent;
     auto const answered = of.current.answered + of.previous.answered;
@@ -36,20 +36,20 @@
 
 } // namespace
 
-own_link confirmed(own_link of)
+uplink note_configuration_confirmed(uplink of)
 {
     of.unconfirmed_for = duration{0};
     return of;
 }
 
-own_link server_tried(own_link of, bool answered, instant now)
+uplink note_connect_result(uplink of, bool answered, instant now)
 {
     of = in_current_window(of, now);
     (answered ? of.current.answered : of.current.silent) += 1;
     return of;
 }
 
-own_link looked_at(own_link of, instant now)
+uplink advance_time(uplink of, instant now)
 {
     of = in_current_window(of, now);
     of.unconfirmed_for =
@@ -62,7 +62,7 @@
     return of;
 }
 
-bool sheds_callers(own_link const& of, instant now)
+bool sheds_callers(uplink const& of, instant now)
 {
     return now < of.shedding_until;
 }
--- a/src/gateway/budget_share_allocation.cpp
+++ b/src/gateway/budget_share_allocation.cpp
@@ -78,7 +78,7 @@
 
 bool budget_book::is_small_fleet() const
 {
-    return this->fleet_size() <= budget::most_dealing_routers;
+    return this->fleet_size() <= budget::max_allocating_routers;
 }
 
 /// Returns the interval between reads of budget rows. All routers read what all
@@ -196,8 +196,8 @@
         if (found != this->accounts.end() && !row.deleted)
         {
             auto& share = found->second.share;
-            share = budget::noticed(std::move(share),
-                                    {row.key, row.version, row.value}, at);
+            share = budget::after_feed_update(
+                std::move(share), {row.key, row.version, row.value}, at);
             found->second.raise_paid();
         }
     }
@@ -205,9 +205,9 @@
     {
         if (of.share.seen && of.share.seen->at >= this->rows_current_since)
         {
-            of.share = budget::unchanged(std::move(of.share), at);
+            of.share = budget::after_feed_unchanged(std::move(of.share), at);
         }
-        if (!of.share.waiting.empty() || of.share.dealt)
+        if (!of.share.waiting.empty() || of.share.current_allocation)
         {
             this->settle_waiting(of);
             this->step(id);
@@ -280,34 +280,38 @@
     {
         // In a large fleet the coordinator draws the tokens that it
         // distributes.
-        share.dealt = this->is_large_fleet()
-                          ? std::optional{budget::deal{of.pool_target, 0, 0}}
-                          : std::nullopt;
+        share.current_allocation =
+            this->is_large_fleet()
+                ? std::optional{budget::allocation{of.pool_target, 0, 0}}
+                : std::nullopt;
         share.must_return = false;
-        share.sizes.fresh = share_sizes().fresh;
+        share.sizes.max_row_age = share_sizes().max_row_age;
         return;
     }
-    if (share.dealt && of.allocated_version == share.seen->version &&
+    if (share.current_allocation &&
+        of.allocated_version == share.seen->version &&
         at - of.allocated_at < allocation_lifetime)
     {
         return;
     }
-    share.sizes.fresh = followed_row_fresh;
+    share.sizes.max_row_age = followed_row_fresh;
     of.allocated_version = share.seen->version;
     of.allocated_at = at;
-    share.dealt =
-        budget::deal_for(of.other_holdings, this->vm, this->own_holding(of),
-                         share.seen->row, this->fleet_size(), at);
+    share.current_allocation = budget::allocation_for(
+        of.other_holdings, this->vm, this->own_holding(of), share.seen->row,
+        this->fleet_size(), at);
     auto const free = budget::free_tokens(share);
     auto const wanted = share.seen->row.wanted;
-    auto const waited = (at - share.seen->wish_since).ms / request_doubling_ms;
+    auto const waited =
+        (at - share.seen->wanted_since).ms / request_doubling_ms;
     share.must_return =
         wanted > 0
             ? budget::must_return(of.other_holdings, this->vm, free,
                                   wanted << std::min(waited, most_doublings),
                                   this->fleet_size(), at)
             : budget::must_return(of.other_holdings, this->vm, free,
-                                  share.dealt->others_lack, this->routers, at);
+                                  share.current_allocation->others_shortage,
+                                  this->routers, at);
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/budget_share_exchange.cpp
+++ b/src/gateway/budget_share_exchange.cpp
@@ -160,7 +160,8 @@
         if (taken)
         {
             auto& account = this->accounts.at(budget);
-            account.share = budget::handed_over(std::move(account.share), id);
+            account.share =
+                budget::spend_transfer(std::move(account.share), id);
         }
         done(taken);
     };
@@ -182,17 +183,17 @@
 void budget_book::add_from_peer(budget_id const& budget, token_count tokens)
 {
     auto& of = this->open_account(budget);
-    of.share = budget::received(std::move(of.share), tokens);
+    of.share = budget::add_received(std::move(of.share), tokens);
     this->settle_waiting(of);
 }
 
 void budget_book::reject_waiting(budget_id const& budget, duration retry_after)
 {
     auto& of = this->accounts.at(budget);
-    auto step = budget::refuse_uncovered(std::move(of.share), retry_after,
+    auto step = budget::reject_uncovered(std::move(of.share), retry_after,
                                          this->now.now());
     of.share = std::move(step.state);
-    this->send_replies(step.answers);
+    this->send_replies(step.decisions);
 }
 
 void budget_book::update_draw_mode(account& of, instant at)
@@ -201,14 +202,14 @@
     share.has_peers = this->is_large_fleet();
     if (!share.has_peers)
     {
-        share.draws = true;
+        share.may_draw_from_store = true;
         return;
     }
     auto const has_transfers =
         std::any_of(share.waiting.begin(), share.waiting.end(),
                     [](auto const& one) { return one.is_transfer; });
-    share.draws = has_transfers || at < of.draws_alone_until ||
-                  this->exchange.is_coordinator(share.budget);
+    share.may_draw_from_store = has_transfers || at < of.draws_alone_until ||
+                                this->exchange.is_coordinator(share.budget);
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/budget_share_manager.cpp
+++ b/src/gateway/budget_share_manager.cpp
@@ -123,7 +123,7 @@
                 of.mean_squared_request = of.mean_request * of.mean_request;
             }
             of.raise_paid();
-            of.share.fruitless.reset();
+            of.share.last_unmet_wait.reset();
         }
         if (this->closing)
         {
@@ -326,7 +326,7 @@
     {
     case budget::step_kind::none:
         break;
-    case budget::step_kind::look:
+    case budget::step_kind::read:
         this->read_rows(of);
         break;
     case budget::step_kind::write:
@@ -339,14 +339,14 @@
 {
     this->update_spend_limit(of);
     auto answered =
-        budget::answer_waiting(std::move(of.share), this->now.now());
+        budget::decide_waiting(std::move(of.share), this->now.now());
     of.share = std::move(answered.state);
-    this->send_replies(answered.answers);
+    this->send_replies(answered.decisions);
     this->request_limit_raise(of);
 }
 
 void budget_book::send_replies(
-    std::vector<budget::answered_reservation> const& decided)
+    std::vector<budget::decided_reservation> const& decided)
 {
     for (auto const& one : decided)
     {
--- a/src/gateway/budget_share_manager.hpp
+++ b/src/gateway/budget_share_manager.hpp
@@ -140,7 +140,8 @@
     using reply_handler = std::function<void(budget::reserve_reply)>;
 
     account& open_account(budget_id const& budget);
-    std::map<budget_id, budget::spend_line> required_spend_limits() const;
+    std::map<budget_id, budget::spend_limit_curve>
+    required_spend_limits() const;
     std::optional<store::row_write> holdings_to_report();
     budget::holding own_holding(account const& of) const;
     share_access make_share_access();
@@ -150,7 +151,7 @@
                        duration wait, std::function<void(bool)> done);
     void add_from_peer(budget_id const& budget, token_count tokens);
     void reject_waiting(budget_id const& budget, duration retry_after);
-    void send_replies(std::vector<budget::answered_reservation> const& decided);
+    void send_replies(std::vector<budget::decided_reservation> const& decided);
     void update_draw_mode(account& of, instant at);
     bool is_large_fleet() const;
     double initial_headroom(account const& of, double traffic) const;
@@ -167,7 +168,7 @@
     bool is_small_fleet() const;
     duration budget_read_interval() const;
     void inherit(incarnation_id const& dead,
-                 std::map<budget_id, budget::spend_line> const& limits);
+                 std::map<budget_id, budget::spend_limit_curve> const& limits);
     void try_takeover(account& of);
     void rename_share(budget_id const& budget, store::row const& found);
     void takeover_failed(budget_id const& budget);
--- a/src/gateway/budget_share_store.cpp
+++ b/src/gateway/budget_share_store.cpp
@@ -23,8 +23,8 @@
         if (auto const* fault = std::get_if<error>(&budget_reply))
         {
             this->log.fault(*fault);
-            account.share =
-                budget::look_failed(std::move(account.share), this->now.now());
+            account.share = budget::after_failed_read(std::move(account.share),
+                                                      this->now.now());
             this->settle_waiting(account);
             return;
         }
@@ -33,8 +33,8 @@
             share,
             {budget::holder_key(account.holder.incarnation),
              account.holder.version, ""}};
-        account.share = budget::looked(std::move(account.share), account.holder,
-                                       rows, this->now.now());
+        account.share = budget::after_read(
+            std::move(account.share), account.holder, rows, this->now.now());
         account.raise_paid();
         this->settle_waiting(account);
         this->step(id);
@@ -77,7 +77,7 @@
                       {
                           auto& account = this->accounts.at(id);
                           this->log_write(account, result);
-                          account.share = budget::wrote(
+                          account.share = budget::after_write(
                               std::move(account.share), account.holder, result,
                               this->now.now());
                           account.raise_paid();
--- a/src/gateway/budget_share_takeover.cpp
+++ b/src/gateway/budget_share_takeover.cpp
@@ -21,8 +21,9 @@
 namespace caperpath::gateway
 {
 
-void budget_book::inherit(incarnation_id const& dead,
-                          std::map<budget_id, budget::spend_line> const& limits)
+void budget_book::inherit(
+    incarnation_id const& dead,
+    std::map<budget_id, budget::spend_limit_curve> const& limits)
 {
     for (auto const& [budget, limit] : limits)
     {
@@ -50,8 +51,8 @@
 {
     auto const all = granted + of.pending_takeover->received;
     auto const spent = std::min(of.pending_takeover->spent, all);
-    of.share =
-        budget::received(std::move(of.share), of.pending_takeover->received);
+    of.share = budget::add_received(std::move(of.share),
+                                    of.pending_takeover->received);
     of.share = budget::inherit(std::move(of.share), granted, spent, version);
     of.share.given += std::min(of.pending_takeover->given, spent);
     this->log_takeover(of, granted);
--- a/src/gateway/budget_spend_limits.cpp
+++ b/src/gateway/budget_spend_limits.cpp
@@ -37,16 +37,16 @@
 
 /// Returns a spend limit for each budget that covers all waiting reservations
 /// and the expected traffic while the store is away.
-std::map<budget_id, budget::spend_line>
+std::map<budget_id, budget::spend_limit_curve>
 budget_book::required_spend_limits() const
 {
-    std::map<budget_id, budget::spend_line> all;
+    std::map<budget_id, budget::spend_limit_curve> all;
     for (auto const& [id, of] : this->accounts)
     {
         auto const& share = of.share;
         auto const traffic = std::max(0.0, share.rate.per_second);
         auto const start = this->initial_headroom(of, traffic);
-        budget::spend_line limit;
+        budget::spend_limit_curve limit;
         limit.received = share.received;
         limit.given = share.given;
         limit.has_share = of.pending_takeover || share.share_version > 0 ||
--- a/src/gateway/core.cpp
+++ b/src/gateway/core.cpp
@@ -44,8 +44,8 @@
       pool{loop,
            [this](bool answered)
            {
-               this->uplink =
-                   fleet::server_tried(this->uplink, answered, this->now.now());
+               this->uplink = fleet::note_connect_result(this->uplink, answered,
+                                                         this->now.now());
            }},
       crashes{loop, store, fleet::stable_hash(settings.vm), this->log},
       crash_checks{loop}
--- a/src/gateway/core.hpp
+++ b/src/gateway/core.hpp
@@ -54,13 +54,13 @@
     std::shared_ptr<fleet::site const> site; ///< null until first read
     fleet::server_table servers;
     bool servers_listed{false};
-    fleet::prompt_memory prompts;
+    fleet::prefix_history prompts;
     fleet::engine_speed speed;
     fleet::retry_window retries;
     peer_link peers;
     membership_tracker membership;
     budget_book budgets;
-    fleet::own_link uplink;
+    fleet::uplink uplink;
     server_pool pool;
     crash_keeper crashes;
     crash_check crash_checks;
--- a/src/gateway/crash_tracker.cpp
+++ b/src/gateway/crash_tracker.cpp
@@ -118,7 +118,7 @@
 
 void crash_keeper::record_response(fleet::fingerprint const& request)
 {
-    if (!fleet::note_answer(this->record, request, this->now.now()))
+    if (!fleet::note_response(this->record, request, this->now.now()))
     {
         return;
     }
@@ -285,7 +285,7 @@
     {
         this->log.fault(result.fault);
     }
-    this->write_after(retry_pause(this->failures, this->salt));
+    this->write_after(retry_backoff(this->failures, this->salt));
 }
 
 void crash_keeper::sweep()
--- a/src/gateway/dispatch.cpp
+++ b/src/gateway/dispatch.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-using fleet::attempt_end;
+using fleet::attempt_outcome;
 
 /// `Retry-After` if no server can take the request: about the time until a
 /// server may be available again.
@@ -34,9 +34,9 @@
     auto& shared = current.shared;
     auto const place = [&](std::vector<backend_server_id> const& avoided)
     {
-        return fleet::place(shared.servers, *current.service, current.work,
-                            shared.prompts, avoided, shared.speed,
-                            shared.now.now());
+        return fleet::choose_placement(shared.servers, *current.service,
+                                       current.work, shared.prompts, avoided,
+                                       shared.speed, shared.now.now());
     };
     if (current.evidence.crashes > 0)
     {
@@ -91,57 +91,58 @@
                                shared.boot_time.now());
 }
 
-bool counts_as_run(attempt_end end)
+bool counts_as_run(attempt_outcome end)
 {
     switch (end)
     {
-    case attempt_end::not_reached:
-    case attempt_end::not_run:
-    case attempt_end::wrong_server:
+    case attempt_outcome::not_reached:
+    case attempt_outcome::not_run:
+    case attempt_outcome::wrong_server:
         return false;
     default:
         return true;
     }
 }
 
-std::string_view name_of(attempt_end end)
+std::string_view name_of(attempt_outcome end)
 {
     switch (end)
     {
-    case attempt_end::answered:
+    case attempt_outcome::responded:
         return "served";
-    case attempt_end::failed:
+    case attempt_outcome::failed:
         return "server_failed";
-    case attempt_end::not_reached:
+    case attempt_outcome::not_reached:
         return "no_server_reached";
-    case attempt_end::not_run:
+    case attempt_outcome::not_run:
         return "servers_full";
-    case attempt_end::wrong_server:
+    case attempt_outcome::wrong_server:
         return "server_replaced";
-    case attempt_end::in_doubt:
+    case attempt_outcome::in_doubt:
         return "broken_off";
-    case attempt_end::expired:
+    case attempt_outcome::expired:
         return "time_over";
-    case attempt_end::caller_gone:
+    case attempt_outcome::caller_gone:
         break;
     }
     return "caller_left";
 }
 
 void record_attempt(exchange& current, fleet::placement const& where,
-                    attempt_end end)
+                    attempt_outcome end)
 {
     auto& shared = current.shared;
     current.attempts.sends += 1;
     current.attempts.runs += counts_as_run(end) ? 1 : 0;
     current.tried.push_back(where.server);
-    if (end == attempt_end::answered || end == attempt_end::caller_gone)
+    if (end == attempt_outcome::responded ||
+        end == attempt_outcome::caller_gone)
     {
         return;
     }
     auto const found = shared.servers.servers.find(where.server);
     if (found != shared.servers.servers.end() && counts_as_run(end) &&
-        end != attempt_end::expired)
+        end != attempt_outcome::expired)
     {
         fleet::note_failure(found->second, false, shared.now.now());
     }
@@ -155,14 +156,14 @@
 
 /// The rejection for a request that no attempt served. Returns nothing if the
 /// caller has disconnected or has received part of a response.
-std::optional<rejection> give_up(exchange& current, attempt_end end)
+std::optional<rejection> give_up(exchange& current, attempt_outcome end)
 {
     auto const reason =
-        current.deadline_from_stop && end == attempt_end::expired
+        current.deadline_from_stop && end == attempt_outcome::expired
             ? "stopping"
             : name_of(end);
     current.reason = reason;
-    if (end == attempt_end::caller_gone)
+    if (end == attempt_outcome::caller_gone)
     {
         current.keep_connection = false;
         return std::nullopt;
@@ -186,17 +187,17 @@
 
 asio::awaitable<std::optional<rejection>> dispatch(exchange& current)
 {
-    auto end = attempt_end::not_reached;
+    auto end = attempt_outcome::not_reached;
     while (true)
     {
         auto const now = current.shared.now.now();
         if (caller_disconnected(current))
         {
-            co_return give_up(current, attempt_end::caller_gone);
+            co_return give_up(current, attempt_outcome::caller_gone);
         }
         if (now >= current.deadline)
         {
-            co_return give_up(current, attempt_end::expired);
+            co_return give_up(current, attempt_outcome::expired);
         }
         if (auto const rejected = check_crash_evidence(current))
         {
@@ -235,17 +236,17 @@
             lost_connection = call.lost_connection();
         }
         record_attempt(current, *where, end);
-        if (end == attempt_end::answered)
+        if (end == attempt_outcome::responded)
         {
             record_complete_response(current);
             co_return std::nullopt;
         }
-        if (end == attempt_end::in_doubt && lost_connection)
+        if (end == attempt_outcome::in_doubt && lost_connection)
         {
             co_await probe_for_crash(current, where->server);
         }
         auto const forbidden = counts_as_run(end) && forbids_retry(current);
-        if (forbidden || !fleet::may_send_again(current.attempts, end))
+        if (forbidden || !fleet::may_try_another_server(current.attempts, end))
         {
             co_return give_up(current, end);
         }
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -28,7 +28,8 @@
 /// was written. Waiting for that is slow, but faster than a retry by the
 /// caller. Tokens that it does not cover by then are known to be missing at
 /// once.
-constexpr duration max_wait_for_spend_limit = budget::flat_for + duration{300};
+constexpr duration max_wait_for_spend_limit =
+    budget::flat_period + duration{300};
 /// `Retry-After` while this process does not know the configuration.
 constexpr duration not_ready_retry_after{500};
 /// Upper bound for requests whose caller sets no time limit; the timeout of the
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -62,7 +62,7 @@
     fleet::route const* route{};
     fleet::customer const* customer{};
     fleet::service const* service{};
-    fleet::work work;
+    fleet::placement_request work;
     instant deadline{};
     bool deadline_from_stop{false}; ///< a planned stop set `deadline`
 
@@ -77,7 +77,7 @@
     bool on_probation{false}; ///< holds the probation slot of its fingerprint
     bool server_crashed{false};
     std::int64_t possible_deliveries{}; ///< sends that may have arrived
-    fleet::event_scan events;
+    fleet::event_splitter events;
     bool response_started{false};
     duration reserve_wait{};    ///< time spent on reserving tokens
     bool prompt_started{false}; ///< a server began to process the prompt
--- a/src/gateway/exchange_stop.cpp
+++ b/src/gateway/exchange_stop.cpp
@@ -63,7 +63,7 @@
 
 void limit_deadline_to_stop(exchange& current)
 {
-    auto const due = current.shared.stop->answers_due;
+    auto const due = current.shared.stop->responses_due;
     if (current.deadline > due)
     {
         current.deadline = due;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -332,8 +332,8 @@
                                {{"service", use.service.value},
                                 {"sharers", std::to_string(sharers)},
                                 {"requests", std::to_string(use.requests)},
-                                {"repeats", std::to_string(use.repeats)},
-                                {"denied", std::to_string(use.denied)}});
+                                {"repeats", std::to_string(use.retries)},
+                                {"denied", std::to_string(use.rejected)}});
     }
 }
 
@@ -348,7 +348,7 @@
         this->shared.prompts.forget(id);
     }
     this->report_retries();
-    this->shared.uplink = fleet::looked_at(this->shared.uplink, now);
+    this->shared.uplink = fleet::advance_time(this->shared.uplink, now);
     this->shared.budgets.note_routers(this->shared.membership.alive_vms());
     if (this->shared.membership.completed_reads() != this->membership_reads)
     {
--- a/src/gateway/gateway_views.cpp
+++ b/src/gateway/gateway_views.cpp
@@ -23,7 +23,8 @@
     };
     auto const on_site = [this](store::feed_page const& page)
     {
-        this->shared.uplink = fleet::confirmed(this->shared.uplink);
+        this->shared.uplink =
+            fleet::note_configuration_confirmed(this->shared.uplink);
         this->apply_site(page);
     };
     this->sites = std::make_unique<table_follower>(
@@ -111,12 +112,13 @@
         this->shared.pool.drop(entry.id);
         this->shared.prompts.forget(entry.id);
     }
-    if (is_new || entry.leaving)
+    if (is_new || entry.draining)
     {
-        this->shared.log.write(log_weight::notable, "server",
-                               {{"server", entry.id.value},
-                                {"state", entry.leaving ? "leaving" : "listed"},
-                                {"service", entry.service.value}});
+        this->shared.log.write(
+            log_weight::notable, "server",
+            {{"server", entry.id.value},
+             {"state", entry.draining ? "leaving" : "listed"},
+             {"service", entry.service.value}});
     }
 }
 
--- a/src/gateway/http_client.cpp
+++ b/src/gateway/http_client.cpp
@@ -92,13 +92,13 @@
 {
     this->send(
         std::move(request),
-        {wait_for_answer(this->timeout_estimate, longest), longest},
+        {next_call_timeout(this->timeout_estimate, longest), longest},
         [this, began = this->now.now(), done = std::move(done)](auto result)
         {
             this->timeout_estimate =
-                result.answer
-                    ? answered(this->timeout_estimate, this->now.now() - began)
-                    : unanswered(this->timeout_estimate);
+                result.answer ? after_response(this->timeout_estimate,
+                                               this->now.now() - began)
+                              : after_timeout(this->timeout_estimate);
             done(std::move(result));
         });
 }
@@ -183,7 +183,7 @@
     boost::beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
     parser.body_limit(max_response_bytes);
-    transfer_watch watch;
+    stall_detector watch;
     while (!fault && !parser.is_done())
     {
         auto const size = co_await http::async_read_some(
@@ -194,14 +194,14 @@
         if (cost.bytes == 0)
         {
             cost.answered = cost.took;
-            watch = watch_transfer(stall, at);
+            watch = start_stall_detector(stall, at);
             // With the small default buffer each 512 bytes would take one
             // system call.
             buffer.reserve(parser.is_done() ? 0 : read_size);
         }
         cost.bytes += static_cast<std::int64_t>(size);
         watch = arrived(watch, size, at);
-        stream.expires_after(to_chrono(stalled_at(watch) - at));
+        stream.expires_after(to_chrono(stall_deadline(watch) - at));
     }
     if (fault)
     {
--- a/src/gateway/http_client.hpp
+++ b/src/gateway/http_client.hpp
@@ -90,7 +90,7 @@
     asio::any_io_executor executor;
     boost::asio::ip::tcp::endpoint peer;
     std::vector<stream_ptr> idle;
-    call_patience timeout_estimate;
+    adaptive_timeout timeout_estimate;
     caperpath::clock now{caperpath::clock::monotonic()};
 };
 
--- a/src/gateway/membership_tracker.cpp
+++ b/src/gateway/membership_tracker.cpp
@@ -83,8 +83,8 @@
     {
         return 0;
     }
-    return fleet::slack_sharers(this->known, this->lease, this->self,
-                                this->window, this->now.now());
+    return fleet::retry_allowance_sharers(this->known, this->lease, this->self,
+                                          this->window, this->now.now());
 }
 
 duration membership_tracker::read_age() const
@@ -159,10 +159,11 @@
             heartbeats.push_back({*router, row.value, row.version});
         }
     }
-    this->known = fleet::seen(std::move(this->known), heartbeats, times);
+    this->known =
+        fleet::update_membership(std::move(this->known), heartbeats, times);
     this->read_count += 1;
     this->remove_dead_rows();
-    auto const count = fleet::alive(this->known);
+    auto const count = fleet::live_router_count(this->known);
     if (count != this->last_alive)
     {
         this->log.write(log_weight::notable, "routers",
@@ -174,7 +175,8 @@
 
 void membership_tracker::remove_dead_rows()
 {
-    for (auto const& router : fleet::dead(this->known, this->self))
+    for (auto const& router :
+         fleet::dead_routers_to_remove(this->known, this->self))
     {
         auto const key = key_of(router);
         store::transaction txn;
--- a/src/gateway/membership_tracker.hpp
+++ b/src/gateway/membership_tracker.hpp
@@ -67,8 +67,8 @@
     duration window;
     decision_log& log;
     caperpath::clock now{caperpath::clock::boot()};
-    fleet::roster known;
-    fleet::slack_lease lease;
+    fleet::membership known;
+    fleet::retry_allowance_lease lease;
     std::int64_t last_alive{};
     std::uint64_t read_count{};
     bool leaving{false};
--- a/src/gateway/server_call.cpp
+++ b/src/gateway/server_call.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-using fleet::attempt_end;
+using fleet::attempt_outcome;
 
 constexpr std::uint64_t max_buffered_response = 16ULL * 1024 * 1024;
 constexpr std::size_t parse_buffer_size = 16'384;
@@ -81,7 +81,7 @@
     this->connection->close(!this->reusable);
 }
 
-asio::awaitable<attempt_end> server_call::run()
+asio::awaitable<attempt_outcome> server_call::run()
 {
     this->current.step = "connect";
     if (auto const end = co_await this->connect())
@@ -101,7 +101,7 @@
     if (this->current.response_started && !events)
     {
         // Part of a stream was already sent; another head cannot follow.
-        co_return attempt_end::in_doubt;
+        co_return attempt_outcome::in_doubt;
     }
     if (events)
     {
@@ -115,7 +115,7 @@
     return this->connection && this->connection->end() != peer_end::open;
 }
 
-asio::awaitable<std::optional<attempt_end>> server_call::connect()
+asio::awaitable<std::optional<attempt_outcome>> server_call::connect()
 {
     auto& shared = this->current.shared;
     auto const* const target = this->server();
@@ -139,18 +139,18 @@
                          {{"request", this->current.facts.id},
                           {"server", this->where.server.value},
                           {"outcome", "not_reached"}});
-        co_return attempt_end::not_reached;
+        co_return attempt_outcome::not_reached;
     }
     if (caller_disconnected(this->current))
     {
         this->reusable = true;
-        co_return attempt_end::caller_gone;
+        co_return attempt_outcome::caller_gone;
     }
     // The server may have started draining during the connect.
-    if (after == nullptr || fleet::is_leaving(*after, shared.now.now()))
+    if (after == nullptr || fleet::is_draining(*after, shared.now.now()))
     {
         this->reusable = true;
-        co_return attempt_end::not_reached;
+        co_return attempt_outcome::not_reached;
     }
     this->connection->set_waker(this->current.wakeup);
     co_return std::nullopt;
@@ -205,23 +205,23 @@
 }
 
 /// How the attempt ends if the response cannot continue; nothing if it can.
-std::optional<attempt_end> server_call::early_end()
+std::optional<attempt_outcome> server_call::early_end()
 {
     if (caller_disconnected(this->current))
     {
-        return attempt_end::caller_gone;
+        return attempt_outcome::caller_gone;
     }
     if (this->current.shared.now.now() >= this->current.deadline)
     {
-        return attempt_end::expired;
+        return attempt_outcome::expired;
     }
     return this->connection->end() == peer_end::open
                ? std::nullopt
-               : std::optional{attempt_end::in_doubt};
+               : std::optional{attempt_outcome::in_doubt};
 }
 
 /// Parses the received bytes and appends those of the body to `body`.
-std::optional<attempt_end> server_call::parse_input()
+std::optional<attempt_outcome> server_call::parse_input()
 {
     auto& input = this->connection->input();
     std::array<char, parse_buffer_size> buffer{};
@@ -241,7 +241,7 @@
         }
         if (fault && fault != http::error::need_buffer)
         {
-            return attempt_end::in_doubt; // not a valid response
+            return attempt_outcome::in_doubt; // not a valid response
         }
         if (used == 0 && content.size == buffer.size())
         {
@@ -273,7 +273,7 @@
     return interim || foreign;
 }
 
-asio::awaitable<std::optional<attempt_end>> server_call::read_head()
+asio::awaitable<std::optional<attempt_outcome>> server_call::read_head()
 {
     auto skipping = false;
     this->response = std::make_unique<parser>();
@@ -312,7 +312,7 @@
 
 /// How the attempt ends if the head alone decides it; nothing if the response
 /// is to be relayed.
-std::optional<attempt_end> server_call::evaluate_head()
+std::optional<attempt_outcome> server_call::evaluate_head()
 {
     auto const status = static_cast<int>(this->response->get().result_int());
     auto* const target = this->server();
@@ -331,13 +331,13 @@
         {
             fleet::note_replaced(*target, now);
         }
-        return this->facts.wrong_server ? attempt_end::wrong_server
-                                        : attempt_end::not_run;
+        return this->facts.wrong_server ? attempt_outcome::wrong_server
+                                        : attempt_outcome::not_run;
     }
     this->current.prompt_started = true;
     if (status >= http_server_error && this->may_fail_over())
     {
-        return attempt_end::failed;
+        return attempt_outcome::failed;
     }
     return std::nullopt;
 }
@@ -349,7 +349,7 @@
     state.runs += 1;
     state.sends += 1;
     auto const now = shared.now.now();
-    return fleet::may_send_again(state, attempt_end::failed) &&
+    return fleet::may_try_another_server(state, attempt_outcome::failed) &&
            this->current.deadline - now > this->where.expected &&
            shared.retries.allows(this->current.work.service,
                                  shared.membership.retry_sharers(),
--- a/src/gateway/server_call.hpp
+++ b/src/gateway/server_call.hpp
@@ -27,7 +27,7 @@
     /// Runs the attempt. On `answered` the whole response was sent to the
     /// caller. On `in_doubt` after a part of it was sent, the stream can resume
     /// after `current.events.last_id()`.
-    asio::awaitable<fleet::attempt_end> run();
+    asio::awaitable<fleet::attempt_outcome> run();
 
     /// True if the connection to the server has ended.
     bool lost_connection() const;
@@ -35,14 +35,14 @@
 private:
     using parser = http::response_parser<http::buffer_body>;
 
-    asio::awaitable<std::optional<fleet::attempt_end>> connect();
+    asio::awaitable<std::optional<fleet::attempt_outcome>> connect();
     void send();
-    asio::awaitable<std::optional<fleet::attempt_end>> read_head();
-    std::optional<fleet::attempt_end> evaluate_head();
-    asio::awaitable<fleet::attempt_end> relay_whole();
-    asio::awaitable<fleet::attempt_end> relay_events();
-    std::optional<fleet::attempt_end> parse_input();
-    std::optional<fleet::attempt_end> early_end();
+    asio::awaitable<std::optional<fleet::attempt_outcome>> read_head();
+    std::optional<fleet::attempt_outcome> evaluate_head();
+    asio::awaitable<fleet::attempt_outcome> relay_whole();
+    asio::awaitable<fleet::attempt_outcome> relay_events();
+    std::optional<fleet::attempt_outcome> parse_input();
+    std::optional<fleet::attempt_outcome> early_end();
     bool must_skip_response();
     void start_response(bool chunked);
     void relay_part(std::string const& part);
--- a/src/gateway/server_call_relay.cpp
+++ b/src/gateway/server_call_relay.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-using fleet::attempt_end;
+using fleet::attempt_outcome;
 
 /// Reading from the server pauses while a slow caller has more unsent bytes
 /// than this.
@@ -34,7 +34,7 @@
 
 } // namespace
 
-asio::awaitable<attempt_end> server_call::relay_whole()
+asio::awaitable<attempt_outcome> server_call::relay_whole()
 {
     while (!this->response->is_done())
     {
@@ -55,13 +55,13 @@
     }
     if (caller_disconnected(this->current))
     {
-        co_return attempt_end::caller_gone;
+        co_return attempt_outcome::caller_gone;
     }
     this->record_first_part();
     this->reusable =
         this->response->keep_alive() && this->connection->input().size() == 0;
     this->start_response(false);
-    co_return attempt_end::answered;
+    co_return attempt_outcome::responded;
 }
 
 void server_call::start_response(bool chunked)
@@ -106,7 +106,7 @@
     this->current.caller->send(chunk(part));
 }
 
-asio::awaitable<attempt_end> server_call::relay_events()
+asio::awaitable<attempt_outcome> server_call::relay_events()
 {
     while (true)
     {
@@ -131,7 +131,8 @@
         if (!in_time || caller_disconnected(this->current))
         {
             static_cast<void>(this->current.events.take_rest());
-            co_return in_time ? attempt_end::caller_gone : attempt_end::expired;
+            co_return in_time ? attempt_outcome::caller_gone
+                              : attempt_outcome::expired;
         }
     }
     this->relay_part(this->current.events.take_rest());
@@ -142,7 +143,7 @@
     this->current.caller->send(last_chunk());
     this->reusable =
         this->response->keep_alive() && this->connection->input().size() == 0;
-    co_return attempt_end::answered;
+    co_return attempt_outcome::responded;
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/session.cpp
+++ b/src/gateway/session.cpp
@@ -193,7 +193,7 @@
                 co_return result;
             }
             auto const& stop = this->shared.stop;
-            if (stop && this->now() >= stop->answers_due)
+            if (stop && this->now() >= stop->responses_due)
             {
                 result.end = read_end::rejected;
                 result.why = {http_unavailable, "stopping",
@@ -207,7 +207,7 @@
                 co_return result;
             }
             static_cast<void>(co_await this->wait(
-                stop ? std::min(until, stop->answers_due) : until));
+                stop ? std::min(until, stop->responses_due) : until));
         }
         result.end = read_end::whole;
         result.request = parser.release();
--- a/src/gateway/settings.cpp
+++ b/src/gateway/settings.cpp
@@ -22,7 +22,7 @@
     auto const fallback_seconds =
         static_cast<double>(fallback.ms) / ms_per_second;
     auto const found =
-        reader.real_or(key, "seconds", least, longest, fallback_seconds);
+        reader.number_or(key, "seconds", least, longest, fallback_seconds);
     return {std::llround(found * ms_per_second)};
 }
 
@@ -67,11 +67,12 @@
     parsed.store_address = reader.address("store_address");
     read_peer_ports(reader, parsed);
     parsed.grace = seconds(reader, "grace_s", parsed.grace, 0, max_seconds);
-    parsed.retries.ratio = reader.real_or("retry_ratio", "repeats per request",
-                                          0, max_ratio, parsed.retries.ratio);
-    parsed.retries.slack =
-        reader.real_or("retry_slack", "repeats in a window", 0, max_retry_slack,
-                       parsed.retries.slack);
+    parsed.retries.ratio =
+        reader.number_or("retry_ratio", "repeats per request", 0, max_ratio,
+                         parsed.retries.ratio);
+    parsed.retries.allowance =
+        reader.number_or("retry_slack", "repeats in a window", 0,
+                         max_retry_slack, parsed.retries.allowance);
     parsed.retries.window =
         seconds(reader, "retry_window_s", parsed.retries.window,
                 min_retry_window_s, max_retry_window_s);
--- a/src/gateway/share_sizes.cpp
+++ b/src/gateway/share_sizes.cpp
@@ -48,14 +48,14 @@
     all.idle_factor = idle_factor;
     all.half_kept_at = half_kept_at;
     all.least_return_part = least_return_part;
-    all.refuse_at_once = reject_at_once;
+    all.reject_at_once_for = reject_at_once;
     all.spare_divisor = spare_divisor;
     all.look_per_holder = read_interval_per_holder;
     all.near_end_look_per_holder = near_end_read_interval_per_holder;
     all.waiting_look = waiting_read_interval;
     all.lowest_level = lowest_level;
     all.highest_level = highest_level;
-    all.fresh = row_fresh;
+    all.max_row_age = row_fresh;
     all.look_interval = idle_read_interval;
     all.near_end_look = near_end_read_interval;
     return all;
--- a/src/gateway/spend_row_writer.cpp
+++ b/src/gateway/spend_row_writer.cpp
@@ -75,8 +75,9 @@
     this->first_write();
 }
 
-void spend_keeper::send(std::map<budget_id, budget::spend_line> const& limits,
-                        std::function<void(store::commit_result const&)> done)
+void spend_keeper::send(
+    std::map<budget_id, budget::spend_limit_curve> const& limits,
+    std::function<void(store::commit_result const&)> done)
 {
     auto const row = budget::next_row(this->journal, limits, this->now.now());
     this->journal = budget::sent(std::move(this->journal), row);
@@ -119,8 +120,8 @@
         result.store_ms - (this->first_sent_at - this->started_at).ms;
     auto const spent =
         this->previous
-            ? budget::spent_at_most(*this->previous,
-                                    this->journal.written.address, dead_ms)
+            ? budget::max_spent_by_dead(*this->previous,
+                                        this->journal.written.address, dead_ms)
             : std::nullopt;
     auto const age = this->previous ? dead_ms - this->previous->at_ms : 0;
     this->log.write(
--- a/src/gateway/spend_row_writer.hpp
+++ b/src/gateway/spend_row_writer.hpp
@@ -23,7 +23,7 @@
 struct spend_listener
 {
     /// Returns the spend limits that the budgets need now.
-    std::function<std::map<budget_id, budget::spend_line>()> required;
+    std::function<std::map<budget_id, budget::spend_limit_curve>()> required;
 
     /// Returns a row to write together with the next spend row, if one is due.
     std::function<std::optional<store::row_write>()> extra_write;
@@ -40,8 +40,9 @@
     /// `required` must hold at least that for each budget whose share may be
     /// renamed: with a lower limit, a successor would spend the same tokens
     /// again.
-    std::function<void(incarnation_id const& dead,
-                       std::map<budget_id, budget::spend_line> const& limits)>
+    std::function<void(
+        incarnation_id const& dead,
+        std::map<budget_id, budget::spend_limit_curve> const& limits)>
         inherit;
 };
 
@@ -80,7 +81,7 @@
     void use_previous(store::row const& row);
     void first_write();
     void finish_first_write(store::commit_result const& result);
-    void send(std::map<budget_id, budget::spend_line> const& limits,
+    void send(std::map<budget_id, budget::spend_limit_curve> const& limits,
               std::function<void(store::commit_result const&)> done);
     void write();
     void finish_write(store::commit_result const& result);
--- a/src/gateway/table_follower.cpp
+++ b/src/gateway/table_follower.cpp
@@ -62,7 +62,7 @@
     // During an outage a longer timeout only delays the call that detects its
     // end.
     auto const lost = std::min(this->failures, 1);
-    this->port.list(this->table, answer_limit(list_timeout, lost),
+    this->port.list(this->table, first_byte_timeout(list_timeout, lost),
                     [this](std::variant<store::feed_page, error> const& reply)
                     {
                         if (auto const* fault = std::get_if<error>(&reply))
@@ -96,7 +96,7 @@
     this->held = true;
     this->calls_sent += 1;
     this->port.follow(this->table, this->version, hold,
-                      answer_limit(poll_timeout, this->lost_polls),
+                      first_byte_timeout(poll_timeout, this->lost_polls),
                       [this, hold, call = this->calls_sent](
                           std::variant<store::feed_page, error> const& reply)
                       {
@@ -161,14 +161,14 @@
     }
     this->failures += 1;
     this->hold = this->listener.hold;
-    if (history_gone || reads_anew(this->failures))
+    if (history_gone || needs_full_read(this->failures))
     {
         this->listed = false;
     }
     auto const seed = this->salt + static_cast<std::size_t>(this->version) +
                       static_cast<std::size_t>(this->failures);
     auto const pause =
-        retry_pause(this->failures, std::hash<std::size_t>{}(seed));
+        retry_backoff(this->failures, std::hash<std::size_t>{}(seed));
     this->schedule(pause,
                    [this]
                    {
--- a/src/gateway/token_exchange_service.cpp
+++ b/src/gateway/token_exchange_service.cpp
@@ -99,7 +99,7 @@
 {
     auto& of = this->state_of(budget);
     auto const stock = this->stock_of(budget, of, now);
-    for (auto const& one : budget::gather(stock, missing))
+    for (auto const& one : budget::plan_recalls(stock, missing))
     {
         of.routers[one.router].free += one.tokens;
         this->packet_to(one.router).recalls.push_back({budget, -one.tokens});
--- a/src/http/fault_plan.cpp
+++ b/src/http/fault_plan.cpp
@@ -57,15 +57,16 @@
     rule made;
     made.step = choice(reader, "step", steps);
     made.effect.kind = choice(reader, "kind", this->known.kinds);
-    made.left = reader.whole_or("count", "calls", 1, max_count, 1);
-    made.effect.span.ms = needs_span(made.effect.kind)
-                              ? reader.whole("ms", "milliseconds", 1, max_ms)
-                              : reader.whole_or("ms", "milliseconds", 0, 0, 0);
-    made.percent = reader.whole_or("probability_percent", "percent", 1,
-                                   whole_percent, whole_percent);
+    made.left = reader.integer_or("count", "calls", 1, max_count, 1);
+    made.effect.span.ms =
+        needs_span(made.effect.kind)
+            ? reader.integer("ms", "milliseconds", 1, max_ms)
+            : reader.integer_or("ms", "milliseconds", 0, 0, 0);
+    made.percent = reader.integer_or("probability_percent", "percent", 1,
+                                     whole_percent, whole_percent);
     made.random.seed(static_cast<std::uint64_t>(
-        reader.whole_or("seed", "the random sequence", 0,
-                        std::numeric_limits<std::int64_t>::max(), 1)));
+        reader.integer_or("seed", "the random sequence", 0,
+                          std::numeric_limits<std::int64_t>::max(), 1)));
     if (made.effect.kind == outage)
     {
         made.until = now + made.effect.span;
--- a/src/load/scenario.cpp
+++ b/src/load/scenario.cpp
@@ -43,7 +43,7 @@
     customer_load read;
     read.name = reader.text("name");
     read.key = reader.text("key");
-    read.weight = reader.whole_or("weight", "share", 1, max_weight, 1);
+    read.weight = reader.integer_or("weight", "share", 1, max_weight, 1);
     read.kind = read_kind(reader);
     if (read.kind == request_kind::order)
     {
@@ -53,8 +53,8 @@
         return read;
     }
     read.model = reader.text("model");
-    read.least_tokens = reader.whole("least_tokens", "tokens", 1, max_tokens);
-    read.most_tokens = reader.whole("most_tokens", "tokens", 1, max_tokens);
+    read.least_tokens = reader.integer("least_tokens", "tokens", 1, max_tokens);
+    read.most_tokens = reader.integer("most_tokens", "tokens", 1, max_tokens);
     if (read.most_tokens < read.least_tokens)
     {
         reader.reject("most_tokens", "expected at least least_tokens");
@@ -69,9 +69,9 @@
     json_reader reader{value, path, faults};
     prompt_family read;
     read.name = reader.text("name");
-    read.weight = reader.whole_or("weight", "share", 1, max_weight, 1);
-    read.shared_bytes = reader.whole("shared_bytes", "bytes", 0, max_bytes);
-    read.own_bytes = reader.whole("own_bytes", "bytes", 0, max_bytes);
+    read.weight = reader.integer_or("weight", "share", 1, max_weight, 1);
+    read.shared_bytes = reader.integer("shared_bytes", "bytes", 0, max_bytes);
+    read.own_bytes = reader.integer("own_bytes", "bytes", 0, max_bytes);
     reader.finish();
     return read;
 }
@@ -79,7 +79,7 @@
 duration read_span(json_reader& reader, std::string_view key,
                    std::int64_t least, duration fallback)
 {
-    return {reader.whole_or(key, "milliseconds", least, day_ms, fallback.ms)};
+    return {reader.integer_or(key, "milliseconds", least, day_ms, fallback.ms)};
 }
 
 retry_policy read_retries(json const& value, std::string const& path,
@@ -87,8 +87,8 @@
 {
     json_reader reader{value, path, faults};
     retry_policy read;
-    read.max_attempts = reader.whole_or("max_attempts", "attempts", 1,
-                                        max_attempts, read.max_attempts);
+    read.max_attempts = reader.integer_or("max_attempts", "attempts", 1,
+                                          max_attempts, read.max_attempts);
     read.first_wait = read_span(reader, "first_wait_ms", 1, read.first_wait);
     read.max_wait = read_span(reader, "most_wait_ms", 1, read.max_wait);
     reader.finish();
@@ -118,12 +118,12 @@
 void read_numbers(json_reader& reader, scenario& read)
 {
     read.length = read_span(reader, "duration_ms", 1, read.length);
-    read.seed = static_cast<std::uint64_t>(reader.whole_or(
+    read.seed = static_cast<std::uint64_t>(reader.integer_or(
         "seed", "number", 0, std::numeric_limits<std::int64_t>::max(), 1));
-    read.arrivals_per_second =
-        reader.whole("arrivals_per_second", "requests per second", 1, max_rate);
-    read.max_open =
-        reader.whole_or("max_open", "requests", 1, max_threads, read.max_open);
+    read.arrivals_per_second = reader.integer(
+        "arrivals_per_second", "requests per second", 1, max_rate);
+    read.max_open = reader.integer_or("max_open", "requests", 1, max_threads,
+                                      read.max_open);
     read.request_timeout =
         read_span(reader, "request_timeout_ms", 1, read.request_timeout);
     read.progress = read_span(reader, "progress_ms", 0, read.progress);
--- a/src/request/chat_request.cpp
+++ b/src/request/chat_request.cpp
@@ -75,7 +75,7 @@
     return bytes;
 }
 
-std::variant<std::int64_t, refusal> prompt_bytes(json const& body)
+std::variant<std::int64_t, rejection> prompt_bytes(json const& body)
 {
     auto const messages = body.find("messages");
     if (messages == body.end() || !messages->is_array() || messages->empty())
@@ -106,8 +106,8 @@
     return total;
 }
 
-std::variant<std::int64_t, refusal> max_tokens(json const& body,
-                                               config::model const& model)
+std::variant<std::int64_t, rejection> max_tokens(json const& body,
+                                                 config::model const& model)
 {
     for (auto const* name : {"max_completion_tokens", "max_tokens"})
     {
@@ -129,7 +129,7 @@
     return model.max_completion_tokens;
 }
 
-std::variant<bool, refusal> flag(json const& object, char const* name)
+std::variant<bool, rejection> flag(json const& object, char const* name)
 {
     auto const member = object.find(name);
     if (member == object.end() || member->is_null())
@@ -143,7 +143,7 @@
     return member->get<bool>();
 }
 
-std::variant<bool, refusal> include_usage(json const& body)
+std::variant<bool, rejection> include_usage(json const& body)
 {
     auto const options = body.find("stream_options");
     if (options == body.end() || options->is_null())
@@ -168,7 +168,7 @@
     return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::variant<json, refusal> parse_body(std::string_view text)
+std::variant<json, rejection> parse_body(std::string_view text)
 {
     if (exceeds_max_depth(text))
     {
@@ -184,18 +184,18 @@
 
 } // namespace
 
-refusal invalid_request(std::string param, std::string message)
+rejection invalid_request(std::string param, std::string message)
 {
     return {http_bad_request,        outcome::not_run, {},
             "invalid_request_error", "invalid_value",  std::move(param),
             std::move(message)};
 }
 
-std::variant<chat_request, refusal>
+std::variant<chat_request, rejection>
 parse_chat_request(std::string_view text, config::document const& document)
 {
     auto const parsed = parse_body(text);
-    if (auto const* fault = std::get_if<refusal>(&parsed))
+    if (auto const* fault = std::get_if<rejection>(&parsed))
     {
         return *fault;
     }
@@ -209,7 +209,7 @@
     auto const model = document.models.find(id);
     if (model == document.models.end())
     {
-        refusal fault = invalid_request("model", "no model has this name");
+        rejection fault = invalid_request("model", "no model has this name");
         fault.status = http_not_found;
         fault.code = "model_not_found";
         return fault;
@@ -220,8 +220,8 @@
     auto const usage = include_usage(body);
     auto const count = body.contains("n") ? body["n"] : json(1);
     for (auto const* fault :
-         {std::get_if<refusal>(&bytes), std::get_if<refusal>(&limit),
-          std::get_if<refusal>(&stream), std::get_if<refusal>(&usage)})
+         {std::get_if<rejection>(&bytes), std::get_if<rejection>(&limit),
+          std::get_if<rejection>(&stream), std::get_if<rejection>(&usage)})
     {
         if (fault != nullptr)
         {
--- a/src/request/claim_finish.cpp
+++ b/src/request/claim_finish.cpp
@@ -56,7 +56,7 @@
         // Without this row, a router that dies between finishing the claim and
         // the settlement leaves a stored response that is never billed.
         txn.writes.push_back(
-            {budget::answered_key(held.self.incarnation, *bill),
+            {budget::kept_bill_key(held.self.incarnation, *bill),
              budget::encode(std::vector{*bill})});
     }
     return store.platform.commit(txn);
@@ -64,17 +64,18 @@
 
 } // namespace
 
-claim_end finish_claim(claim_store const& store, held_claim const& held,
-                       claim_finish const& finish, std::uint64_t& version)
+finish_result finish_claim(claim_store const& store, held_claim const& held,
+                           claim_finish const& finish, std::uint64_t& version)
 {
     std::string object;
     if (needs_object(finish, store.options))
     {
         object = object_name(held);
-        auto const put = store.platform.put_object(object, finish.answer.body);
+        auto const put =
+            store.platform.put_object(object, finish.response.body);
         if (put.outcome != commit_outcome::applied)
         {
-            return claim_end::pending;
+            return finish_result::pending;
         }
     }
     auto const row =
@@ -93,18 +94,18 @@
     if (outcome.outcome == commit_outcome::applied)
     {
         version += 1;
-        return claim_end::kept;
+        return finish_result::stored;
     }
     if (outcome.outcome == commit_outcome::unknown || outcome.failed.empty())
     {
-        return claim_end::pending;
+        return finish_result::pending;
     }
     // The first write may have taken effect although its response was lost;
     // then the second write conflicts with it.
     bool const own = found != nullptr &&
                      compare(*found, held.row, row) == row_match::finished;
     version = own ? found->version : 0;
-    return own ? claim_end::kept : claim_end::superseded;
+    return own ? finish_result::stored : finish_result::superseded;
 }
 
 // Writes the row even if the claim is absent: the uncertain write may still be
@@ -138,7 +139,7 @@
 }
 
 bool delete_claims(claim_store const& store,
-                   std::vector<kept_claim> const& expired)
+                   std::vector<expiring_claim> const& expired)
 {
     store::transaction txn;
     for (auto const& claim : expired)
--- a/src/request/claim_lookup.cpp
+++ b/src/request/claim_lookup.cpp
@@ -18,18 +18,18 @@
     return found == rows.end() ? nullptr : &*found;
 }
 
-std::optional<seen_claim> find_claim(std::vector<store::row> const& rows,
-                                     request_id const& request)
+std::optional<claim_snapshot> find_claim(std::vector<store::row> const& rows,
+                                         request_id const& request)
 {
     auto const* const found = find_row(rows, claim_key(request));
     if (found == nullptr || found->version == 0)
     {
-        return seen_claim{};
+        return claim_snapshot{};
     }
     auto decoded = value_or_error([&] { return decode_claim(found->value); });
     if (auto* const row = std::get_if<claim_row>(&decoded))
     {
-        return seen_claim{std::move(*row), found->version, false};
+        return claim_snapshot{std::move(*row), found->version, false};
     }
     return std::nullopt;
 }
--- a/src/request/claim_lookup.hpp
+++ b/src/request/claim_lookup.hpp
@@ -17,8 +17,8 @@
 
 /// Returns the claim of `request` as read in `rows`. Empty if its row cannot be
 /// decoded; then no decision may be based on it. Thread safe.
-std::optional<seen_claim> find_claim(std::vector<store::row> const& rows,
-                                     request_id const& request);
+std::optional<claim_snapshot> find_claim(std::vector<store::row> const& rows,
+                                         request_id const& request);
 
 } // namespace caperpath::request
 
--- a/src/request/claim_row.cpp
+++ b/src/request/claim_row.cpp
@@ -102,26 +102,26 @@
 
 void write_answer(json& object, claim_row const& row)
 {
-    object["status"] = row.answer.status;
-    object["content_type"] = row.answer.content_type;
-    if (is_utf8(row.answer.body))
+    object["status"] = row.response.status;
+    object["content_type"] = row.response.content_type;
+    if (is_utf8(row.response.body))
     {
-        object["body"] = row.answer.body;
+        object["body"] = row.response.body;
     }
     else
     {
-        object["body_hex"] = to_hex(row.answer.body);
+        object["body_hex"] = to_hex(row.response.body);
     }
     object["object"] = row.object;
 }
 
 void read_answer(json const& object, claim_row& row)
 {
-    row.answer.status = object.at("status").get<int>();
-    row.answer.content_type = object.at("content_type").get<std::string>();
-    row.answer.body = object.contains("body_hex")
-                          ? from_hex(object["body_hex"].get<std::string>())
-                          : object.at("body").get<std::string>();
+    row.response.status = object.at("status").get<int>();
+    row.response.content_type = object.at("content_type").get<std::string>();
+    row.response.body = object.contains("body_hex")
+                            ? from_hex(object["body_hex"].get<std::string>())
+                            : object.at("body").get<std::string>();
     row.object = object.at("object").get<std::string>();
 }
 
