--- a/src/request/claim_state.cpp
+++ b/src/request/claim_state.cpp
@@ -23,7 +23,7 @@
 }
 
 claim_decision acquire(claim_request const& asked, claimant const& self,
-                       seen_claim const& seen, claim_options const& options,
+                       claim_snapshot const& seen, claim_options const& options,
                        instant wall_now)
 {
     claim_row wanted;
@@ -45,7 +45,7 @@
 // unknown for this attempt and every later one. The new epoch makes the
 // holder's own completion conflict in case the proof of its death was wrong.
 claim_decision mark_unknown(claim_request const& asked, claimant const& self,
-                            seen_claim const& seen)
+                            claim_snapshot const& seen)
 {
     auto wanted = *seen.row;
     wanted.state = claim_state::unknown;
@@ -58,7 +58,7 @@
 }
 
 claim_decision decide_claimed(claim_request const& asked, claimant const& self,
-                              seen_claim const& seen, bool idempotent,
+                              claim_snapshot const& seen, bool idempotent,
                               claim_options const& options, instant wall_now)
 {
     if (!seen.holder_ended)
@@ -88,7 +88,7 @@
 }
 
 claim_decision decide_claim(claim_request const& asked, claimant const& self,
-                            seen_claim const& seen,
+                            claim_snapshot const& seen,
                             claim_options const& options, instant wall_now)
 {
     if (!seen.row)
@@ -107,7 +107,7 @@
     case claim_state::done:
     {
         auto replay = reply_only(claim_verdict::replay);
-        replay.reply.answer = seen.row->answer;
+        replay.reply.response = seen.row->response;
         return replay;
     }
     case claim_state::not_run:
@@ -121,7 +121,7 @@
     return decide_claimed(asked, self, seen, idempotent, options, wall_now);
 }
 
-bool is_own_claim(claimant const& self, seen_claim const& seen)
+bool is_own_claim(claimant const& self, claim_snapshot const& seen)
 {
     return seen.row && seen.row->state == claim_state::claimed &&
            seen.row->holder == self.incarnation &&
@@ -131,7 +131,7 @@
 bool needs_object(claim_finish const& finish, claim_options const& options)
 {
     return finish.result == claim_result::completed &&
-           finish.answer.body.size() > options.most_inline_bytes;
+           finish.response.body.size() > options.max_inline_bytes;
 }
 
 claim_row finished_row(claim_row held, claim_finish const& finish,
@@ -144,7 +144,7 @@
     {
     case claim_result::completed:
         held.state = claim_state::done;
-        held.answer = finish.answer;
+        held.response = finish.response;
         held.object = object;
         break;
     case claim_result::not_run:
@@ -156,7 +156,7 @@
     }
     if (!object.empty())
     {
-        held.answer.body.clear();
+        held.response.body.clear();
     }
     return held;
 }
--- a/src/request/claim_store.cpp
+++ b/src/request/claim_store.cpp
@@ -44,17 +44,17 @@
     {
     }
 
-    begun_claim run();
+    begin_result run();
 
 private:
-    std::optional<begun_claim> advance();
-    std::optional<begun_claim> write(claim_decision const& decision);
+    std::optional<begin_result> advance();
+    std::optional<begin_result> write(claim_decision const& decision);
     void handle_conflict(std::vector<store::row> const& failed);
     void refresh();
-    begun_claim make_reply(claim_reply reply);
-    begun_claim make_claimed(claim_reply reply, std::uint64_t version,
-                             claim_row row);
-    begun_claim make_timeout();
+    begin_result make_reply(claim_reply reply);
+    begin_result make_claimed(claim_reply reply, std::uint64_t version,
+                              claim_row row);
+    begin_result make_timeout();
 
     claim_store const& store;
     claim_request const& asked;
@@ -62,14 +62,14 @@
     instant until;
     /// Empty if the table could not be read. Starts as no claim, the usual
     /// case.
-    std::optional<seen_claim> current{seen_claim{}};
+    std::optional<claim_snapshot> current{claim_snapshot{}};
     std::optional<held_claim> uncertain;
     incarnation_id other_holder; ///< last holder read that is not this router
     bool fenced{false};
     int attempts{1};
 };
 
-begun_claim claim_attempt::run()
+begin_result claim_attempt::run()
 {
     while (true)
     {
@@ -87,7 +87,7 @@
     }
 }
 
-std::optional<begun_claim> claim_attempt::advance()
+std::optional<begin_result> claim_attempt::advance()
 {
     while (this->current && !this->fenced)
     {
@@ -121,7 +121,7 @@
     return std::nullopt;
 }
 
-std::optional<begun_claim> claim_attempt::write(claim_decision const& decision)
+std::optional<begin_result> claim_attempt::write(claim_decision const& decision)
 {
     auto const version = this->current->version;
     auto const outcome = this->store.platform.commit(*decision.txn);
@@ -213,7 +213,7 @@
     }
 }
 
-begun_claim claim_attempt::make_reply(claim_reply reply)
+begin_result claim_attempt::make_reply(claim_reply reply)
 {
     bool const stored = reply.verdict == claim_verdict::replay &&
                         !this->current->row->object.empty();
@@ -230,13 +230,13 @@
             // retries.
             return this->make_timeout();
         }
-        reply.answer.body = std::move(std::get<std::string>(body));
+        reply.response.body = std::move(std::get<std::string>(body));
     }
     return {std::move(reply), std::nullopt, std::nullopt};
 }
 
-begun_claim claim_attempt::make_claimed(claim_reply reply,
-                                        std::uint64_t version, claim_row row)
+begin_result claim_attempt::make_claimed(claim_reply reply,
+                                         std::uint64_t version, claim_row row)
 {
     return {
         std::move(reply),
@@ -244,7 +244,7 @@
         std::nullopt};
 }
 
-begun_claim claim_attempt::make_timeout()
+begin_result claim_attempt::make_timeout()
 {
     claim_reply reply;
     bool const held_elsewhere =
@@ -258,8 +258,8 @@
 
 } // namespace
 
-begun_claim begin_claim(claim_store const& store, claim_request const& asked,
-                        claimant const& self)
+begin_result begin_claim(claim_store const& store, claim_request const& asked,
+                         claimant const& self)
 {
     return claim_attempt{store, asked, self}.run();
 }
--- a/src/request/response.cpp
+++ b/src/request/response.cpp
@@ -39,17 +39,17 @@
 {
     event.finish_reason = string_member(choice, "finish_reason");
     event.text = string_member(object_member(choice, "delta"), "content");
-    event.what = event.finish_reason.empty() ? engine_event::kind::token
+    event.type = event.finish_reason.empty() ? engine_event::kind::token
                                              : engine_event::kind::finish;
     return event;
 }
 
-accepted broken(answer_state state)
+accept_result broken(response_state state)
 {
     return {std::move(state), acceptance::broken};
 }
 
-accepted accept_token(answer_state state, engine_event const& event)
+accept_result accept_token(response_state state, engine_event const& event)
 {
     // If an engine repeats, skips or mixes up chunks, the caller would get
     // duplicate, missing or another request's tokens. The offset detects it.
@@ -63,7 +63,7 @@
     {
         state.finish_reason = "length";
         state.done = true;
-        return {std::move(state), acceptance::cut};
+        return {std::move(state), acceptance::truncate};
     }
     ++state.next_offset;
     return {std::move(state), acceptance::pass};
@@ -76,7 +76,7 @@
     engine_event event;
     if (data == "[DONE]")
     {
-        event.what = engine_event::kind::done;
+        event.type = engine_event::kind::done;
         return event;
     }
     auto const body = json::parse(data, nullptr, false);
@@ -91,7 +91,7 @@
     auto const& token_usage = object_member(body, "usage");
     if (!token_usage.empty())
     {
-        event.what = engine_event::kind::counted;
+        event.type = engine_event::kind::usage;
         event.used = {integer_member(token_usage, "prompt_tokens", 0),
                       integer_member(token_usage, "completion_tokens", 0)};
         return event;
@@ -105,13 +105,13 @@
     return decode_choice(std::move(event), choices->front());
 }
 
-accepted accept(answer_state const& state, engine_event const& event)
+accept_result accept(response_state const& state, engine_event const& event)
 {
-    if (state.done || event.what == engine_event::kind::garbled)
+    if (state.done || event.type == engine_event::kind::malformed)
     {
         return broken(state);
     }
-    if (event.what == engine_event::kind::done)
+    if (event.type == engine_event::kind::done)
     {
         // A stream that ends without a finish reason has lost its last chunks;
         // the caller would take an incomplete response for a complete one.
@@ -128,11 +128,11 @@
         return broken(state);
     }
     auto next = state;
-    if (event.what == engine_event::kind::token)
+    if (event.type == engine_event::kind::token)
     {
         return accept_token(std::move(next), event);
     }
-    if (event.what == engine_event::kind::finish)
+    if (event.type == engine_event::kind::finish)
     {
         next.finish_reason = event.finish_reason;
         return {std::move(next), acceptance::pass};
@@ -141,7 +141,7 @@
     return {std::move(next), acceptance::ignore};
 }
 
-answer_state next_attempt(answer_state const& state)
+response_state next_attempt(response_state const& state)
 {
     auto next = state;
     ++next.attempt;
--- a/src/request/retry.cpp
+++ b/src/request/retry.cpp
@@ -17,9 +17,10 @@
 
 } // namespace
 
-retry_budget earned(retry_budget const& state)
+retry_budget credit_request(retry_budget const& state)
 {
-    return {std::min(state.credit + retry_budget::percent, retry_budget::most)};
+    return {std::min(state.credit + retry_budget::percent,
+                     retry_budget::max_credit)};
 }
 
 bool may_retry(retry_budget const& state)
@@ -27,7 +28,7 @@
     return state.credit >= retry_budget::cost;
 }
 
-retry_budget spent(retry_budget const& state)
+retry_budget debit_retry(retry_budget const& state)
 {
     return {state.credit - retry_budget::cost};
 }
@@ -50,23 +51,24 @@
     return {min_retry_after.ms + static_cast<std::int64_t>(random % width)};
 }
 
-gap_tracker observed(gap_tracker const& state, duration gap)
+gap_tracker record_gap(gap_tracker const& state, duration gap)
 {
     auto const decayed =
         state.largest_us - state.largest_us / gap_tracker::decay;
     auto const gap_us = std::max<std::int64_t>(gap.ms, 0) * us_per_ms;
-    return {std::max(decayed, gap_us), state.seen + 1};
+    return {std::max(decayed, gap_us), state.gap_count + 1};
 }
 
-duration silence_bound(gap_tracker const& state)
+duration silence_timeout(gap_tracker const& state)
 {
-    if (state.seen < min_gap_count)
+    if (state.gap_count < min_gap_count)
     {
-        return gap_tracker::initial_bound;
+        return gap_tracker::initial_timeout;
     }
     auto const bound =
         duration{state.largest_us / us_per_ms} * gap_tracker::gap_factor;
-    return std::clamp(bound, gap_tracker::least, gap_tracker::most);
+    return std::clamp(bound, gap_tracker::min_timeout,
+                      gap_tracker::max_timeout);
 }
 
 } // namespace caperpath::request
--- a/src/router/chat_relay.cpp
+++ b/src/router/chat_relay.cpp
@@ -92,11 +92,11 @@
 duration chat_relay::next_timeout() const
 {
     auto const first = this->token_in_attempt
-                           ? request::silence_bound(this->gaps)
-                           : request::gap_tracker::initial_bound;
+                           ? request::silence_timeout(this->gaps)
+                           : request::gap_tracker::initial_timeout;
     auto const bound =
         std::min(first * (std::int64_t{1} << this->silence_count),
-                 request::gap_tracker::most);
+                 request::gap_tracker::max_timeout);
     auto const left = this->request.deadline - this->request.shared.time.now();
     return std::clamp(left, duration{1}, bound);
 }
@@ -221,7 +221,7 @@
     this->may_have_run = this->may_have_run || !not_run;
     if (is_set(head.headers, draining_header))
     {
-        this->end_attempt(routing::attempt_result::leaving);
+        this->end_attempt(routing::attempt_result::draining);
         return std::nullopt;
     }
     if (not_run || head.status == http_too_many)
@@ -279,14 +279,14 @@
             {relay_event::kind::finished, this->response.finish_reason, {}});
         return std::nullopt;
     }
-    if (event.what != request::engine_event::kind::token)
+    if (event.type != request::engine_event::kind::token)
     {
         return std::nullopt;
     }
     auto const now = this->request.shared.time.now();
     if (this->token_in_attempt)
     {
-        this->gaps = request::observed(this->gaps, now - this->last_token);
+        this->gaps = request::record_gap(this->gaps, now - this->last_token);
     }
     this->token_in_attempt = true;
     this->silence_count = 0;
@@ -302,7 +302,7 @@
 std::optional<relay_event> chat_relay::retry_after_silence()
 {
     auto const bound = this->next_timeout();
-    if (bound >= request::gap_tracker::most)
+    if (bound >= request::gap_tracker::max_timeout)
     {
         return this->retry_after_failure("no data within the maximum timeout");
     }
--- a/src/router/chat_relay.hpp
+++ b/src/router/chat_relay.hpp
@@ -28,7 +28,7 @@
 
     kind type{kind::failed};
     std::string text;
-    request::refusal rejection;
+    request::rejection rejection;
 };
 
 /// Relays one chat response from backend servers, within the limit of attempts:
@@ -78,7 +78,7 @@
 
     filters::context& request;
     request::chat_request const& chat;
-    request::answer_state response;
+    request::response_state response;
     std::vector<backend_server_id> excluded;
     routing::choose_reply target;
     std::shared_ptr<http::exchange> open;
--- a/src/router/chat_response.cpp
+++ b/src/router/chat_response.cpp
@@ -22,7 +22,7 @@
 }
 
 // Records a failure after dispatch, which decides how the request ended.
-void set_rejected(filters::context& request, request::refusal rejection)
+void set_rejected(filters::context& request, request::rejection rejection)
 {
     request.state = filters::progress::rejected;
     request.rejection = std::move(rejection);
@@ -86,7 +86,7 @@
     return event;
 }
 
-void chat_response::reject(request::refusal rejection,
+void chat_response::reject(request::rejection rejection,
                            httplib::Response& response)
 {
     set_rejected(this->request, std::move(rejection));
@@ -161,7 +161,7 @@
     this->request.used = this->request.relay->used();
     if (this->collects_text())
     {
-        this->request.response = request::kept_answer{
+        this->request.response = request::stored_response{
             200, json_type,
             completion_json(
                 this->identity,
@@ -249,7 +249,7 @@
 }
 
 void chat_response::write_failure(httplib::DataSink& sink,
-                                  request::refusal rejection)
+                                  request::rejection rejection)
 {
     // The caller got part of the response, so the outcome is never "not-run".
     rejection.kind = request::outcome::unknown;
--- a/src/router/chat_response.hpp
+++ b/src/router/chat_response.hpp
@@ -43,13 +43,13 @@
 
 private:
     relay_event first_event();
-    void reject(request::refusal rejection, httplib::Response& response);
+    void reject(request::rejection rejection, httplib::Response& response);
     void begin_replay(httplib::Response& response);
     void collect_response(relay_event first, httplib::Response& response);
     bool write_events(httplib::DataSink& sink);
     bool write_token(httplib::DataSink& sink, std::string const& text);
     bool write_finish(httplib::DataSink& sink, std::string const& reason);
-    void write_failure(httplib::DataSink& sink, request::refusal rejection);
+    void write_failure(httplib::DataSink& sink, request::rejection rejection);
     void complete(std::string const& finish_reason);
     bool collects_text() const;
 
--- a/src/router/http_routes.cpp
+++ b/src/router/http_routes.cpp
@@ -95,14 +95,14 @@
         return;
     }
     bool const server_fault = response.status >= http_internal_error;
-    request::refusal rejection{response.status,
-                               request::outcome::not_run,
-                               {},
-                               server_fault ? "server_error"
-                                            : "invalid_request_error",
-                               "http_" + std::to_string(response.status),
-                               "",
-                               ""};
+    request::rejection rejection{response.status,
+                                 request::outcome::not_run,
+                                 {},
+                                 server_fault ? "server_error"
+                                              : "invalid_request_error",
+                                 "http_" + std::to_string(response.status),
+                                 "",
+                                 ""};
     switch (response.status)
     {
     case http_payload_too_large:
@@ -146,7 +146,7 @@
                         std::exception_ptr const& thrown)
 {
     observe::log_error({"request", {}, {}}, message_of(thrown));
-    request::refusal const rejection{
+    request::rejection const rejection{
         http_internal_error,
         request::outcome::unknown,
         {},
--- a/src/router/response_json.cpp
+++ b/src/router/response_json.cpp
@@ -51,7 +51,7 @@
             {"total_tokens", used.prompt_tokens + used.completion_tokens}};
 }
 
-json error_of(request::refusal const& rejection)
+json error_of(request::rejection const& rejection)
 {
     json error{{"message", rejection.message},
                {"type", rejection.type},
@@ -94,7 +94,7 @@
     return event_of(chunk);
 }
 
-std::string error_event(request::refusal const& rejection)
+std::string error_event(request::rejection const& rejection)
 {
     return event_of(error_of(rejection));
 }
@@ -126,7 +126,7 @@
                               used["completion_tokens"].get<std::int64_t>()}};
 }
 
-std::string error_json(request::refusal const& rejection)
+std::string error_json(request::rejection const& rejection)
 {
     return dump(error_of(rejection));
 }
--- a/src/router/response_json.hpp
+++ b/src/router/response_json.hpp
@@ -42,7 +42,7 @@
                          std::string const& finish_reason);
 std::string usage_event(response_identity const& identity,
                         request::usage const& used);
-std::string error_event(request::refusal const& rejection);
+std::string error_event(request::rejection const& rejection);
 inline constexpr char done_event[] = "data: [DONE]\n\n";
 
 /// Returns a `chat.completion` object. Thread safe.
@@ -54,7 +54,7 @@
 std::optional<complete_response> parse_completion(std::string const& text);
 
 /// Returns the usual error object, extended by the outcome. Thread safe.
-std::string error_json(request::refusal const& rejection);
+std::string error_json(request::rejection const& rejection);
 
 /// Returns the response body of `GET /v1/models`. Thread safe.
 std::string models_json(config::document const& document);
--- a/src/router/service_call.cpp
+++ b/src/router/service_call.cpp
@@ -28,7 +28,7 @@
 {
     attempt_status end{attempt_status::unknown};
     routing::attempt_result report{routing::attempt_result::failed};
-    request::kept_answer response;
+    request::stored_response response;
     std::string reason;
 };
 
@@ -55,7 +55,7 @@
     bool const draining =
         http::header_value(headers, "caperpath-leaving") == "true";
     return {attempt_status::not_run,
-            draining ? routing::attempt_result::leaving
+            draining ? routing::attempt_result::draining
                      : routing::attempt_result::overloaded,
             {},
             "the service reported that it did not run the call"};
@@ -63,7 +63,7 @@
 
 attempt read_response(filters::context const& request, http::exchange& open)
 {
-    request::kept_answer response;
+    request::stored_response response;
     while (true)
     {
         auto const remaining = request.deadline - request.shared.time.now();
@@ -134,8 +134,8 @@
     return result;
 }
 
-request::refusal rejection_of(bool may_have_run, bool in_time, std::string code,
-                              std::string message)
+request::rejection rejection_of(bool may_have_run, bool in_time,
+                                std::string code, std::string message)
 {
     auto const kind =
         may_have_run ? request::outcome::unknown : request::outcome::not_run;
@@ -153,7 +153,7 @@
 
 } // namespace
 
-std::variant<request::kept_answer, request::refusal>
+std::variant<request::stored_response, request::rejection>
 call_service(filters::context& request)
 {
     auto const& work =
--- a/src/router/service_call.hpp
+++ b/src/router/service_call.hpp
@@ -12,7 +12,7 @@
 /// that is not idempotent only if the previous attempt provably did not run.
 /// Blocks at most until the request's deadline.
 /// @pre `request` holds a service request
-std::variant<request::kept_answer, request::refusal>
+std::variant<request::stored_response, request::rejection>
 call_service(filters::context& request);
 
 } // namespace caperpath::router
--- a/src/router/settings.cpp
+++ b/src/router/settings.cpp
@@ -14,14 +14,14 @@
 duration read_ms(config::json_reader& reader, std::string_view key,
                  std::int64_t min, duration fallback)
 {
-    return {reader.whole_or(key, "milliseconds", min, max_ms, fallback.ms)};
+    return {reader.integer_or(key, "milliseconds", min, max_ms, fallback.ms)};
 }
 
 std::size_t read_size(config::json_reader& reader, std::string_view key,
                       std::string_view unit, std::int64_t min, std::int64_t max,
                       std::size_t fallback)
 {
-    return static_cast<std::size_t>(reader.whole_or(
+    return static_cast<std::size_t>(reader.integer_or(
         key, unit, min, max, static_cast<std::int64_t>(fallback)));
 }
 
--- a/src/routing/backend_view.cpp
+++ b/src/routing/backend_view.cpp
@@ -16,26 +16,27 @@
 
 bool usable(backend_view const& backend, instant now)
 {
-    return !backend.leaving && backend.set_aside_until <= now;
+    return !backend.draining && backend.ejected_until <= now;
 }
 
-backend_view succeeded(backend_view const& backend)
+backend_view record_success(backend_view const& backend)
 {
     auto next = backend;
-    next.failures = 0;
-    next.set_aside_until = {};
+    next.consecutive_failures = 0;
+    next.ejected_until = {};
     return next;
 }
 
-backend_view failed(backend_view const& backend, instant now)
+backend_view record_failure(backend_view const& backend, instant now)
 {
     auto next = backend;
-    ++next.failures;
-    if (next.failures >= failures_before_ejection)
+    ++next.consecutive_failures;
+    if (next.consecutive_failures >= failures_before_ejection)
     {
         auto const doublings =
-            std::min(next.failures - failures_before_ejection, max_doublings);
-        next.set_aside_until =
+            std::min(next.consecutive_failures - failures_before_ejection,
+                     max_doublings);
+        next.ejected_until =
             now + min_ejection * (std::int64_t{1} << doublings);
     }
     return next;
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -35,7 +35,8 @@
     auto next = refilled(state, bounds, now);
     if (next.open >= bounds.max_concurrent)
     {
-        return {next, limit_verdict::too_many_open, concurrency_retry_after};
+        return {next, limit_verdict::concurrency_exceeded,
+                concurrency_retry_after};
     }
     // The cap lets the bucket recover from any request within a minute.
     auto const max_milli = bounds.tokens_per_second * max_recovery.ms;
@@ -49,15 +50,15 @@
     {
         auto const deficit = needed - next.bucket_milli;
         duration const wait{deficit / bounds.tokens_per_second + 1};
-        return {next, limit_verdict::too_fast, wait};
+        return {next, limit_verdict::rate_exceeded, wait};
     }
     next.bucket_milli -= charge;
     ++next.open;
     return {next, limit_verdict::admitted, {}};
 }
 
-limit_state released(limit_state const& state, limits const& bounds,
-                     token_count unused)
+limit_state release(limit_state const& state, limits const& bounds,
+                    token_count unused)
 {
     auto next = state;
     next.open = std::max<std::int64_t>(next.open - 1, 0);
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -42,7 +42,7 @@
 std::size_t round_robin(std::span<backend_view const* const> usable,
                         choice_input const& input)
 {
-    return input.turn % usable.size();
+    return input.sequence % usable.size();
 }
 
 std::size_t least_outstanding(std::span<backend_view const* const> usable,
@@ -53,7 +53,8 @@
         auto const& backend = *usable[i];
         bool const remote = backend.failure_domain != input.own_failure_domain;
         auto const rotation =
-            (i + usable.size() - input.turn % usable.size()) % usable.size();
+            (i + usable.size() - input.sequence % usable.size()) %
+            usable.size();
         return std::tuple{backend.outstanding, remote, rotation};
     };
     std::size_t best = 0;
--- a/src/stand_in/chat_request.cpp
+++ b/src/stand_in/chat_request.cpp
@@ -60,7 +60,7 @@
     auto const* const key = reader.has("max_completion_tokens")
                                 ? "max_completion_tokens"
                                 : "max_tokens";
-    return reader.whole_or(key, "tokens", 1, token_limit, token_limit);
+    return reader.integer_or(key, "tokens", 1, token_limit, token_limit);
 }
 
 // The id is copied to JSON and headers, so it must be printable ASCII.
--- a/src/stand_in/command_handler.cpp
+++ b/src/stand_in/command_handler.cpp
@@ -26,8 +26,8 @@
 {
     config::json_reader reader{body, "", faults};
     backend_order order;
-    order.fencing = reader.whole("fencing", "orders given", 0,
-                                 std::numeric_limits<std::int64_t>::max());
+    order.fencing = reader.integer("fencing", "orders given", 0,
+                                   std::numeric_limits<std::int64_t>::max());
     order.kind = reader.text("order");
     auto const& kinds = order_kinds();
     if (std::find(kinds.begin(), kinds.end(), order.kind) == kinds.end())
--- a/src/stand_in/engine.cpp
+++ b/src/stand_in/engine.cpp
@@ -276,7 +276,7 @@
     config::json_reader reader{body, "", errors};
     auto const id = reader.text("request");
     auto const attempt =
-        reader.whole_or("attempt", "attempts", 1, max_attempts, 0);
+        reader.integer_or("attempt", "attempts", 1, max_attempts, 0);
     reader.finish();
     if (!errors.empty())
     {
--- a/src/stand_in/engine_settings.cpp
+++ b/src/stand_in/engine_settings.cpp
@@ -39,28 +39,28 @@
     auto const span = [&reader](std::string_view key, duration fallback)
     {
         return duration{
-            reader.whole_or(key, "milliseconds", 0, max_ms, fallback.ms)};
+            reader.integer_or(key, "milliseconds", 0, max_ms, fallback.ms)};
     };
     settings.listen = read_listen(reader);
     settings.name = reader.text("name");
     settings.model = reader.text("model");
     settings.slots =
-        reader.whole_or("slots", "requests", 1, max_slots, defaults.slots);
-    settings.max_queue = reader.whole_or("max_queue", "requests", 0, max_slots,
-                                         defaults.max_queue);
+        reader.integer_or("slots", "requests", 1, max_slots, defaults.slots);
+    settings.max_queue = reader.integer_or("max_queue", "requests", 0,
+                                           max_slots, defaults.max_queue);
     settings.prefill_per_1000_tokens =
         span("prefill_ms_per_1000_tokens", defaults.prefill_per_1000_tokens);
     settings.first_token = span("first_token_ms", defaults.first_token);
     settings.token_time = span("token_ms", defaults.token_time);
     settings.batch_slope_percent =
-        reader.whole_or("batch_slope_percent", "percent", 0, 10'000,
-                        defaults.batch_slope_percent);
+        reader.integer_or("batch_slope_percent", "percent", 0, 10'000,
+                          defaults.batch_slope_percent);
     settings.cache_capacity =
-        reader.whole_or("cache_capacity", "tokens", 0, max_cache_tokens,
-                        defaults.cache_capacity);
+        reader.integer_or("cache_capacity", "tokens", 0, max_cache_tokens,
+                          defaults.cache_capacity);
     settings.load_lag = span("load_lag_ms", defaults.load_lag);
     settings.event_lag = span("event_lag_ms", defaults.event_lag);
-    settings.event_gap_percent = reader.whole_or(
+    settings.event_gap_percent = reader.integer_or(
         "event_gap_percent", "percent", 0, 100, defaults.event_gap_percent);
     settings.checks_fencing =
         reader.boolean_or("checks_fencing", defaults.checks_fencing);
--- a/src/stand_in/fault_registry.cpp
+++ b/src/stand_in/fault_registry.cpp
@@ -31,12 +31,12 @@
                                               : "unknown, did you mean \"" +
                                                     nearest + "\"?");
     }
-    fault.span = {reader.whole_or("ms", "milliseconds", 0, max_ms, 0)};
-    fault.count = reader.whole_or("count", "requests", 0, max_requests, 0);
+    fault.span = {reader.integer_or("ms", "milliseconds", 0, max_ms, 0)};
+    fault.count = reader.integer_or("count", "requests", 0, max_requests, 0);
     fault.after_tokens =
-        reader.whole_or("after_tokens", "tokens", 0, max_requests, 0);
+        reader.integer_or("after_tokens", "tokens", 0, max_requests, 0);
     fault.factor =
-        reader.whole_or("factor", "times the token time", 1, max_factor, 1);
+        reader.integer_or("factor", "times the token time", 1, max_factor, 1);
     reader.finish();
     return fault;
 }
--- a/src/stand_in/service.cpp
+++ b/src/stand_in/service.cpp
@@ -38,12 +38,12 @@
     service_settings settings;
     settings.listen = read_listen(reader);
     settings.name = reader.text("name");
-    settings.work = {reader.whole_or("work_ms", "milliseconds", 0, max_ms,
-                                     defaults.work.ms)};
+    settings.work = {reader.integer_or("work_ms", "milliseconds", 0, max_ms,
+                                       defaults.work.ms)};
     settings.slots =
-        reader.whole_or("slots", "calls", 1, max_slots, defaults.slots);
-    settings.load_lag = {reader.whole_or("load_lag_ms", "milliseconds", 0,
-                                         max_ms, defaults.load_lag.ms)};
+        reader.integer_or("slots", "calls", 1, max_slots, defaults.slots);
+    settings.load_lag = {reader.integer_or("load_lag_ms", "milliseconds", 0,
+                                           max_ms, defaults.load_lag.ms)};
     settings.checks_fencing =
         reader.boolean_or("checks_fencing", defaults.checks_fencing);
     reader.finish();
--- a/src/store/store_emulator_settings.cpp
+++ b/src/store/store_emulator_settings.cpp
@@ -21,13 +21,13 @@
     stand_in_settings settings;
     settings.listen = reader.listen_address("listen");
     settings.writes_per_second =
-        reader.whole_or("writes_per_second", "writes a second", 1, max_rate,
-                        defaults.writes_per_second);
+        reader.integer_or("writes_per_second", "writes a second", 1, max_rate,
+                          defaults.writes_per_second);
     settings.reads_per_second =
-        reader.whole_or("reads_per_second", "reads a second", 1, max_rate,
-                        defaults.reads_per_second);
-    settings.list_lag.ms = reader.whole_or("list_lag_ms", "milliseconds", 0,
-                                           max_lag_ms, defaults.list_lag.ms);
+        reader.integer_or("reads_per_second", "reads a second", 1, max_rate,
+                          defaults.reads_per_second);
+    settings.list_lag.ms = reader.integer_or("list_lag_ms", "milliseconds", 0,
+                                             max_lag_ms, defaults.list_lag.ms);
     reader.each_element(
         "vms", [&](nlohmann::json const& inner, std::string const& path)
         { settings.vms.push_back(wire::read_vm(inner, path, faults)); });
--- a/src/store/wire_request.cpp
+++ b/src/store/wire_request.cpp
@@ -116,7 +116,7 @@
     wanted.prefix = reader.text("prefix");
     wanted.after = reader.text("after");
     wanted.limit = static_cast<std::size_t>(
-        reader.whole("limit", "rows", 0, max_scan_rows));
+        reader.integer("limit", "rows", 0, max_scan_rows));
     reader.finish();
     return wanted;
 }
@@ -133,7 +133,7 @@
 std::uint64_t read_version(config::json_reader& reader)
 {
     return static_cast<std::uint64_t>(
-        reader.whole("version", "writes", 0, max_version));
+        reader.integer("version", "writes", 0, max_version));
 }
 
 result<std::string> encode(transaction const& txn)
--- a/tests/base/adaptive_timeout_test.cpp
+++ b/tests/base/adaptive_timeout_test.cpp
@@ -19,25 +19,25 @@
     // to a quarter of the tokens that they had paid for.
     void a_lost_response_times_out_soon()
     {
-        call_patience of;
-        of = answered(of, duration{12});
-        CPPUNIT_ASSERT(wait_for_answer(of, longest) == duration{200});
+        adaptive_timeout of;
+        of = after_response(of, duration{12});
+        CPPUNIT_ASSERT(next_call_timeout(of, longest) == duration{200});
     }
 
     // The store takes 50 times as long as usual. If calls timed out after the
     // usual time, none would ever get a response.
     void the_timeout_grows_for_a_slow_store()
     {
-        call_patience of;
-        of = unanswered(unanswered(of));
-        CPPUNIT_ASSERT(wait_for_answer(of, longest) == longest);
-        of = answered(of, duration{450});
-        CPPUNIT_ASSERT(wait_for_answer(of, longest) >= duration{700});
+        adaptive_timeout of;
+        of = after_timeout(after_timeout(of));
+        CPPUNIT_ASSERT(next_call_timeout(of, longest) == longest);
+        of = after_response(of, duration{450});
+        CPPUNIT_ASSERT(next_call_timeout(of, longest) >= duration{700});
         for (int i = 0; i < 40; ++i)
         {
-            of = answered(of, duration{10});
+            of = after_response(of, duration{10});
         }
-        CPPUNIT_ASSERT(wait_for_answer(of, longest) == duration{200});
+        CPPUNIT_ASSERT(next_call_timeout(of, longest) == duration{200});
     }
 };
 
--- a/tests/base/follow_backoff_test.cpp
+++ b/tests/base/follow_backoff_test.cpp
@@ -19,9 +19,9 @@
     void timeouts_grow_with_lost_calls()
     {
         constexpr duration usual{350};
-        CPPUNIT_ASSERT(answer_limit(usual, 0) == usual);
-        CPPUNIT_ASSERT(answer_limit(usual, 1) == duration{700});
-        CPPUNIT_ASSERT(answer_limit(usual, 100) == duration{1'400});
+        CPPUNIT_ASSERT(first_byte_timeout(usual, 0) == usual);
+        CPPUNIT_ASSERT(first_byte_timeout(usual, 1) == duration{700});
+        CPPUNIT_ASSERT(first_byte_timeout(usual, 100) == duration{1'400});
     }
 
     // Guards against all routers calling the store in the same millisecond.
@@ -30,7 +30,7 @@
         std::set<std::int64_t> delays;
         for (std::size_t salt = 0; salt < 300; ++salt)
         {
-            delays.insert(retry_pause(1, salt).ms);
+            delays.insert(retry_backoff(1, salt).ms);
         }
         CPPUNIT_ASSERT(delays.size() >= 40);
     }
@@ -51,9 +51,9 @@
     {
         for (std::size_t salt = 0; salt < 300; ++salt)
         {
-            CPPUNIT_ASSERT(retry_pause(1, salt) < duration{50});
-            CPPUNIT_ASSERT(retry_pause(50, salt) >= duration{200});
-            CPPUNIT_ASSERT(retry_pause(50, salt) < duration{400});
+            CPPUNIT_ASSERT(retry_backoff(1, salt) < duration{50});
+            CPPUNIT_ASSERT(retry_backoff(50, salt) >= duration{200});
+            CPPUNIT_ASSERT(retry_backoff(50, salt) < duration{400});
         }
     }
 };
--- a/tests/base/stall_detector_test.cpp
+++ b/tests/base/stall_detector_test.cpp
@@ -17,10 +17,10 @@
     // Guards against abandoning a response because it is large.
     void a_slow_transfer_continues()
     {
-        auto of = watch_transfer(stall, instant{0});
+        auto of = start_stall_detector(stall, instant{0});
         for (std::int64_t at = 700; at < 60'000; at += 700)
         {
-            CPPUNIT_ASSERT(instant{at} < stalled_at(of));
+            CPPUNIT_ASSERT(instant{at} < stall_deadline(of));
             of = arrived(of, least_progress, instant{at});
         }
     }
@@ -28,20 +28,20 @@
     // Guards against waiting for a silent connection.
     void a_stall_ends_the_transfer()
     {
-        auto of = watch_transfer(stall, instant{0});
+        auto of = start_stall_detector(stall, instant{0});
         of = arrived(of, 10 * least_progress, instant{500});
-        CPPUNIT_ASSERT(stalled_at(of) == instant{1'300});
+        CPPUNIT_ASSERT(stall_deadline(of) == instant{1'300});
     }
 
     // Guards against a peer that keeps a call open with occasional bytes.
     void a_trickle_ends_the_transfer()
     {
-        auto of = watch_transfer(stall, instant{0});
+        auto of = start_stall_detector(stall, instant{0});
         for (std::int64_t at = 0; at < 800; ++at)
         {
             of = arrived(of, 1, instant{at});
         }
-        CPPUNIT_ASSERT(stalled_at(of) == instant{800});
+        CPPUNIT_ASSERT(stall_deadline(of) == instant{800});
     }
 };
 
--- a/tests/budget/audit.hpp
+++ b/tests/budget/audit.hpp
@@ -17,9 +17,10 @@
     budget_row row;
     token_count in_shares{}; ///< sum of share.granted
     token_count spent{};     ///< sum of all spent rows
-    token_count former{};    ///< the part of `spent` by holders without a share
-    token_count held{};      ///< held back and not released
-    token_count billed{};    ///< sum of all bills in the ledger
+    token_count
+        spent_by_former{}; ///< the part of `spent` by holders without a share
+    token_count held{};    ///< held back and not released
+    token_count billed{};  ///< sum of all bills in the ledger
     std::int64_t shares{};
     std::map<request_id, int> bills; ///< how often each request was billed
 };
@@ -49,7 +50,7 @@
         auto const tokens = own == spent.end() ? 0 : own->second;
         incarnation_id const holder{row.key.substr(row.key.find('/') + 1)};
         found.spent += tokens;
-        found.former +=
+        found.spent_by_former +=
             table.read({share_key(budget, holder)}).empty() ? tokens : 0;
     }
     for (auto const& row :
@@ -76,14 +77,14 @@
 /// Returns whether the formula of `rows.hpp` holds, `retired` is the sum of
 /// what former holders spent and of what is held back, and each request is
 /// billed once.
-inline bool upholds_formula(audit const& found)
+inline bool is_consistent(audit const& found)
 {
     auto const once =
         std::all_of(found.bills.begin(), found.bills.end(),
                     [](auto const& entry) { return entry.second == 1; });
     return once && found.billed == found.spent &&
            found.spent <= found.row.granted &&
-           found.former + found.held == found.row.retired &&
+           found.spent_by_former + found.held == found.row.retired &&
            found.in_shares + found.row.retired == found.row.granted &&
            found.row.granted <= found.row.paid &&
            found.shares == found.row.holders;
--- a/tests/budget/distribution_test.cpp
+++ b/tests/budget/distribution_test.cpp
@@ -292,7 +292,7 @@
         stock.routers[name(1)].free = 100;
         stock.routers[name(2)].free = 900;
         stock.routers[name(3)].free = 500;
-        auto const asked = gather(stock, 1'200);
+        auto const asked = plan_recalls(stock, 1'200);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, asked.size());
         CPPUNIT_ASSERT(asked[0] == (token_move{name(2), -900}));
         CPPUNIT_ASSERT(asked[1] == (token_move{name(3), -300}));
--- a/tests/budget/fleet_simulation.hpp
+++ b/tests/budget/fleet_simulation.hpp
@@ -130,7 +130,7 @@
         share = std::move(again.state);
         record.open = false;
         record.cost = cost;
-        record.responded = step.may_end;
+        record.responded = step.response_may_end;
     }
 
     /// Runs one step for every budget of the router and one settlement batch.
@@ -140,14 +140,14 @@
         {
             auto step = next_step(std::move(share), router.holder, this->now);
             share = std::move(step.state);
-            if (step.kind == step_kind::look)
+            if (step.kind == step_kind::read)
             {
                 share = this->read_rows(std::move(share), router, fault);
             }
             if (step.kind == step_kind::write)
             {
-                share = wrote(std::move(share), router.holder,
-                              this->commit(step.txn, fault), this->now);
+                share = after_write(std::move(share), router.holder,
+                                    this->commit(step.txn, fault), this->now);
             }
             this->decide_reservations(share);
         }
@@ -224,9 +224,9 @@
 
     void decide_reservations(share_state& share)
     {
-        auto step = answer_waiting(std::move(share), this->now);
+        auto step = decide_waiting(std::move(share), this->now);
         share = std::move(step.state);
-        for (auto const& one : step.answers)
+        for (auto const& one : step.decisions)
         {
             this->record_reply(one.request, one.reply);
         }
@@ -237,10 +237,10 @@
     {
         if (fault != call_fault::none && fault != call_fault::duplicated)
         {
-            return look_failed(std::move(share), this->now);
+            return after_failed_read(std::move(share), this->now);
         }
-        auto const rows = this->table->read(look_keys(share, router.holder));
-        return looked(std::move(share), router.holder, rows, this->now);
+        auto const rows = this->table->read(read_keys(share, router.holder));
+        return after_read(std::move(share), router.holder, rows, this->now);
     }
 
     void advance_settlement(simulated_router& router, call_fault fault)
--- a/tests/budget/holdings_test.cpp
+++ b/tests/budget/holdings_test.cpp
@@ -52,7 +52,7 @@
     {
         sizing sizes;
         sizes.horizon = duration{10'000};
-        sizes.fresh = duration{1'000};
+        sizes.max_row_age = duration{1'000};
         auto state = make_share(
             taller, config::budget_policy::false_refusals_first, sizes);
         state.share = {held, 0};
@@ -91,11 +91,12 @@
     {
         auto const row = row_of(600'000, 60'000);
         holding const each{10'000, 0, 0, 0};
-        auto const found = deal_for(five_others(each), self, each, row, 6, now);
+        auto const found =
+            allocation_for(five_others(each), self, each, row, 6, now);
         CPPUNIT_ASSERT_EQUAL(token_count{100'000}, found.target);
-        CPPUNIT_ASSERT_EQUAL(token_count{0}, found.others_lack);
+        CPPUNIT_ASSERT_EQUAL(token_count{0}, found.others_shortage);
         auto state = holding_state(row, 10'000);
-        state.dealt = found;
+        state.current_allocation = found;
         CPPUNIT_ASSERT_EQUAL(token_count{90'000}, moved(state));
     }
 
@@ -106,17 +107,18 @@
         auto const row = row_of(600'000, 600'000);
         holding const busy{100'000, 60'000, 0, 50'000};
         holding const light{100'000, 10'000, 0, 10'000};
-        auto const mine = deal_for(five_others(light), self, busy, row, 6, now);
+        auto const mine =
+            allocation_for(five_others(light), self, busy, row, 6, now);
         // 490,000 tokens are free; half of the need is here.
         CPPUNIT_ASSERT(mine.target > 200'000);
         auto others = five_others(light);
         others[vm_id{"vm-2"}] = {busy, now};
-        auto const theirs = deal_for(others, self, light, row, 6, now);
+        auto const theirs = allocation_for(others, self, light, row, 6, now);
         CPPUNIT_ASSERT(theirs.target < 60'000);
-        CPPUNIT_ASSERT(theirs.others_lack > 0);
+        CPPUNIT_ASSERT(theirs.others_shortage > 0);
         auto state = holding_state(row, 100'000);
         state.settled = 10'000;
-        state.dealt = theirs;
+        state.current_allocation = theirs;
         CPPUNIT_ASSERT_EQUAL(theirs.target - 90'000, moved(state));
     }
 
@@ -128,7 +130,8 @@
         auto const row = row_of(600'000, 600'000);
         holding const busy{100'000, 0, 0, 50'000};
         holding const idle{100'000, 0, 0, 0};
-        auto const found = deal_for(five_others(busy), self, idle, row, 6, now);
+        auto const found =
+            allocation_for(five_others(busy), self, idle, row, 6, now);
         CPPUNIT_ASSERT_EQUAL(token_count{10'000}, found.target);
     }
 
@@ -138,7 +141,8 @@
     void a_router_without_reports_leaves_parts_for_the_others()
     {
         auto const row = row_of(600'000, 0);
-        auto const found = deal_for({}, self, {0, 0, 0, 5'000}, row, 6, now);
+        auto const found =
+            allocation_for({}, self, {0, 0, 0, 5'000}, row, 6, now);
         CPPUNIT_ASSERT_EQUAL(token_count{100'000}, found.target);
     }
 
@@ -151,7 +155,7 @@
         auto const long_ago = now - holding_lifetime(5) - duration{1};
         auto others = five_others(each);
         others[vm_id{"vm-2"}].at = long_ago;
-        auto const found = deal_for(others, self, each, row, 5, now);
+        auto const found = allocation_for(others, self, each, row, 5, now);
         CPPUNIT_ASSERT_EQUAL(token_count{450'000 / 5}, found.target);
     }
 
@@ -169,7 +173,7 @@
         CPPUNIT_ASSERT(must_return(others, self, 7'000, 50'000, 6, now));
 
         auto state = holding_state(row, 9'000);
-        state.dealt = deal{9'000, 0, 0};
+        state.current_allocation = allocation{9'000, 0, 0};
         CPPUNIT_ASSERT_EQUAL(token_count{-4'500}, moved(state));
         state.must_return = false;
         CPPUNIT_ASSERT_EQUAL(token_count{0}, moved(state));
@@ -184,7 +188,7 @@
         auto row = row_of(60'000, 60'000);
         row.wanted = 3'000;
         auto state = holding_state(row, 9'000);
-        state.dealt = deal{9'000, 0, 0};
+        state.current_allocation = allocation{9'000, 0, 0};
         state.spend_limit = 0;
         state.waiting.push_back({{"r-1"}, 8'000, now, now + duration{250}});
         CPPUNIT_ASSERT_EQUAL(token_count{-1'000}, moved(state));
@@ -196,7 +200,7 @@
     void a_used_up_budget_is_rejected_for_good()
     {
         auto state = holding_state(row_of(60'000, 60'000), 100);
-        state.dealt = deal{100, 0, 58'000};
+        state.current_allocation = allocation{100, 0, 58'000};
         reserve_request const small{
             {"r-1"}, taller, state.policy, 1'500, duration{250}};
         CPPUNIT_ASSERT(!reserve(state, small, now).reply);
@@ -214,7 +218,7 @@
     void a_router_that_was_cut_off_rejects_nothing_for_good()
     {
         auto state = holding_state(row_of(60'000, 60'000), 100);
-        state.dealt = deal{100, 0, 58'000};
+        state.current_allocation = allocation{100, 0, 58'000};
         state.seen->at = now - duration{3'000};
         reserve_request const large{
             {"r-1"}, taller, state.policy, 2'500, duration{250}};
--- a/tests/budget/kept_bill_test.cpp
+++ b/tests/budget/kept_bill_test.cpp
@@ -42,7 +42,7 @@
     {
         return this->port
             .commit({{{holder_key(dead), this->holder.version}},
-                     {{answered_key(dead, kept_bill),
+                     {{kept_bill_key(dead, kept_bill),
                        encode(std::vector{kept_bill})}}})
             .outcome;
     }
@@ -107,7 +107,7 @@
         here.store_response();
         here.settle();
         CPPUNIT_ASSERT(
-            here.table->read({answered_key(dead, kept_bill)}).empty());
+            here.table->read({kept_bill_key(dead, kept_bill)}).empty());
         check_billed_once(here.recovered());
     }
 
@@ -120,7 +120,7 @@
         here.store_response();
         check_billed_once(here.recovered());
         CPPUNIT_ASSERT(
-            here.table->read({answered_key(dead, kept_bill)}).empty());
+            here.table->read({kept_bill_key(dead, kept_bill)}).empty());
     }
 
     // A paused router resumes after its share was recovered and goes on
--- a/tests/budget/share_end_test.cpp
+++ b/tests/budget/share_end_test.cpp
@@ -29,7 +29,7 @@
         sizes.part_by_traffic = 2;
         sizes.half_kept_at = 9;
         sizes.least_return_part = 2;
-        sizes.refuse_at_once = duration{12};
+        sizes.reject_at_once_for = duration{12};
         sizes.requests_in_draw = 0;
         return sizes;
     }
@@ -123,8 +123,8 @@
         CPPUNIT_ASSERT(!waiting.reply);
         auto const later = start + duration{250};
         waiting.state.seen->at = later;
-        auto ended = answer_waiting(waiting.state, later);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ended.answers.size());
+        auto ended = decide_waiting(waiting.state, later);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ended.decisions.size());
         request.request = {"r-2"};
         auto const next = reserve(ended.state, request, later + duration{50});
         CPPUNIT_ASSERT(next.reply);
@@ -142,7 +142,7 @@
         waiting = reserve(ended.state, request, later);
         auto const last = later + duration{250};
         waiting.state.seen->at = last;
-        ended = answer_waiting(waiting.state, last);
+        ended = decide_waiting(waiting.state, last);
         request.request = {"r-4"};
         CPPUNIT_ASSERT(
             reserve(ended.state, request, last + duration{50}).reply);
@@ -159,8 +159,8 @@
         CPPUNIT_ASSERT(!waiting.reply);
         auto const end = at + duration{250};
         waiting.state.seen->at = end;
-        auto ended = answer_waiting(std::move(waiting.state), end);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ended.answers.size());
+        auto ended = decide_waiting(std::move(waiting.state), end);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ended.decisions.size());
         return ended.state;
     }
 
--- a/tests/budget/share_test.cpp
+++ b/tests/budget/share_test.cpp
@@ -140,7 +140,7 @@
     for (auto const& budget : budgets)
     {
         auto const found = audit_of(*simulation.table, budget);
-        RC_ASSERT(upholds_formula(found));
+        RC_ASSERT(is_consistent(found));
         RC_ASSERT(simulation.used(budget) <= found.row.paid);
     }
 }
@@ -304,8 +304,7 @@
         simulation.now = simulation.now + duration{1'000};
         simulation.advance(router, call_fault::none);
         simulation.advance(router, call_fault::none);
-        CPPUNIT_ASSERT(
-            upholds_formula(audit_of(*simulation.table, budgets[0])));
+        CPPUNIT_ASSERT(is_consistent(audit_of(*simulation.table, budgets[0])));
         CPPUNIT_ASSERT_EQUAL(token_count{0}, free_tokens(share));
     }
 
--- a/tests/budget/spend_journal_test.cpp
+++ b/tests/budget/spend_journal_test.cpp
@@ -28,7 +28,7 @@
     inline static budget_id const taller{"taller"};
 
     static spend_journal acknowledged_at(instant now, std::int64_t store_ms,
-                                         spend_line line)
+                                         spend_limit_curve line)
     {
         // The first row yields the store's time, the second contains the limit.
         auto journal = sent({}, next_row({}, {}, now));
@@ -84,13 +84,15 @@
         auto const journal = acknowledged_at(start, 5'000, {300, 100});
         CPPUNIT_ASSERT_EQUAL(
             token_count{300},
-            spend_limit(journal, taller, {900, 0}, start + flat_for));
-        CPPUNIT_ASSERT_EQUAL(token_count{550},
-                             spend_limit(journal, taller, {900, 0},
-                                         start + flat_for + duration{2'500}));
-        CPPUNIT_ASSERT_EQUAL(token_count{900},
-                             spend_limit(journal, taller, {900, 0},
-                                         start + flat_for + duration{8'000}));
+            spend_limit(journal, taller, {900, 0}, start + flat_period));
+        CPPUNIT_ASSERT_EQUAL(
+            token_count{550},
+            spend_limit(journal, taller, {900, 0},
+                        start + flat_period + duration{2'500}));
+        CPPUNIT_ASSERT_EQUAL(
+            token_count{900},
+            spend_limit(journal, taller, {900, 0},
+                        start + flat_period + duration{8'000}));
     }
 
     // A write without a response may be in the store, with a lower limit than
@@ -99,14 +101,14 @@
     void an_unconfirmed_write_applies_once_it_is_sent()
     {
         auto journal = acknowledged_at(start, 5'000, {300, 100});
-        auto const later = start + flat_for + duration{1'000};
+        auto const later = start + flat_period + duration{1'000};
         CPPUNIT_ASSERT_EQUAL(token_count{400},
                              spend_limit(journal, taller, {900, 0}, later));
         auto const row = next_row(journal, {{taller, {320, 10}}}, later);
         journal = sent(std::move(journal), row);
         CPPUNIT_ASSERT_EQUAL(token_count{320},
                              spend_limit(journal, taller, {900, 0}, later));
-        auto const rising = later + flat_for + duration{1'000};
+        auto const rising = later + flat_period + duration{1'000};
         CPPUNIT_ASSERT_EQUAL(token_count{330},
                              spend_limit(journal, taller, {900, 0}, rising));
         // The limit counts from the store's time now: 1 s since the row.
@@ -139,13 +141,13 @@
     {
         spend_row const row{
             {"a-1"}, "10.0.0.1:80", 5'000, {{taller, {300, 100}}}};
-        auto const spent = spent_at_most(row, "10.0.0.1:80", 10'100);
+        auto const spent = max_spent_by_dead(row, "10.0.0.1:80", 10'100);
         CPPUNIT_ASSERT(spent);
         // 300, and 100 a second for 5.1 s, 0.061 s of margin, less 0.9 s.
         CPPUNIT_ASSERT_EQUAL(token_count{726}, spent->at(taller).spent);
-        CPPUNIT_ASSERT(!spent_at_most(row, "10.0.0.2:80", 9'200));
+        CPPUNIT_ASSERT(!max_spent_by_dead(row, "10.0.0.2:80", 9'200));
         spend_row const first{{"a-1"}, "10.0.0.1:80", 0, {}};
-        CPPUNIT_ASSERT(!spent_at_most(first, "10.0.0.1:80", 9'200));
+        CPPUNIT_ASSERT(!max_spent_by_dead(first, "10.0.0.1:80", 9'200));
     }
 
     // Guards against a router that received tokens for a waiting caller and
@@ -217,9 +219,9 @@
                     used += std::min<token_count>(
                         std::max<token_count>(0, limit - used),
                         *rc::gen::inRange(0, 20'000));
-                    spend_line const line{used + *rc::gen::inRange(0, 15'000),
-                                          *rc::gen::inRange(0, 9'000),
-                                          held.received, true};
+                    spend_limit_curve const line{
+                        used + *rc::gen::inRange(0, 15'000),
+                        *rc::gen::inRange(0, 9'000), held.received, true};
                     auto const row = next_row(journal, {{taller, line}}, now);
                     held.received += *rc::gen::inRange(0, 3) == 0
                                          ? *rc::gen::inRange(0, 300'000)
@@ -253,12 +255,13 @@
                 auto const read_ms =
                     store_now.ms - offset + *rc::gen::inRange(0, 6'000);
                 auto const spent =
-                    spent_at_most(in_store, in_store.address, read_ms);
+                    max_spent_by_dead(in_store, in_store.address, read_ms);
                 if (spent)
                 {
                     auto const found = spent->find(taller);
-                    auto const line =
-                        found == spent->end() ? spend_line{} : found->second;
+                    auto const line = found == spent->end()
+                                          ? spend_limit_curve{}
+                                          : found->second;
                     auto const taken_over = std::max<token_count>(
                         0, held.granted + line.received - line.spent);
                     RC_ASSERT(used + taken_over <=
--- a/tests/budget/token_fleet.cpp
+++ b/tests/budget/token_fleet.cpp
@@ -88,7 +88,7 @@
     this->commit_row(of, next_row(of.journal, {}, of.now),
                      write_outcome::acknowledged);
     auto const left =
-        before ? spent_at_most(*before, of.address, dead_ms) : std::nullopt;
+        before ? max_spent_by_dead(*before, of.address, dead_ms) : std::nullopt;
     if (left && left->contains(taller))
     {
         auto const& line = left->at(taller);
@@ -121,7 +121,7 @@
     auto const used = inherits_all
                           ? std::min(of.inheritance->spent, row.granted)
                           : std::min(of.inheritance->spent, all);
-    of.share = received(std::move(of.share), of.inheritance->received);
+    of.share = add_received(std::move(of.share), of.inheritance->received);
     of.share = inherit(std::move(of.share), row.granted, used, version);
     of.share.given = used;
     of.inheritance.reset();
@@ -177,7 +177,7 @@
         of.share = cancel(std::move(of.share), id);
         return;
     }
-    of.share = handed_over(std::move(of.share), id);
+    of.share = spend_transfer(std::move(of.share), id);
     auto posted =
         post(std::move(of.sent), this->routers[to].id, taller, amount, of.now);
     of.sent = std::move(posted.sent);
@@ -223,7 +223,7 @@
     to.taken = std::move(step.taken);
     if (step.is_new || this->bug == injected_bug::accepts_duplicates)
     {
-        to.share = received(std::move(to.share), got.what.tokens);
+        to.share = add_received(std::move(to.share), got.what.tokens);
     }
     auto& from = this->routers[got.from];
     if (from.id == got.sender)
@@ -232,11 +232,12 @@
     }
 }
 
-spend_line token_fleet::limit_of(router const& of, token_count above,
-                                 token_count rise) const
+spend_limit_curve token_fleet::limit_of(router const& of, token_count above,
+                                        token_count rise) const
 {
     auto const& share = of.share;
-    spend_line line{used_tokens(share) + above, rise, share.received, true};
+    spend_limit_curve line{used_tokens(share) + above, rise, share.received,
+                           true};
     if (of.inheritance)
     {
         line.spent = of.inheritance->spent + used_tokens(share);
@@ -299,14 +300,14 @@
 {
     auto& of = this->routers[at];
     holder_view const holder{of.id, 1};
-    of.share.dealt = deal{target, 0, 0};
+    of.share.current_allocation = allocation{target, 0, 0};
     of.share.must_return = false;
     auto next = next_step(std::move(of.share), holder, of.now);
     of.share = std::move(next.state);
-    if (next.kind == step_kind::look)
+    if (next.kind == step_kind::read)
     {
         of.share =
-            looked(std::move(of.share), holder, this->rows_of(of), of.now);
+            after_read(std::move(of.share), holder, this->rows_of(of), of.now);
         of.share.seen->row.paid = std::max(of.share.seen->row.paid, this->paid);
         next = next_step(std::move(of.share), holder, of.now);
         of.share = std::move(next.state);
@@ -326,7 +327,7 @@
     {
         result = {};
     }
-    of.share = wrote(std::move(of.share), holder, result, of.now);
+    of.share = after_write(std::move(of.share), holder, result, of.now);
     if (of.share.seen)
     {
         of.share.seen->row.paid = std::max(of.share.seen->row.paid, this->paid);
--- a/tests/budget/token_fleet.hpp
+++ b/tests/budget/token_fleet.hpp
@@ -116,8 +116,8 @@
                std::int64_t dead_ms);
     void take_over(router& of);
     void set_limit(router& of) const;
-    spend_line limit_of(router const& of, token_count above,
-                        token_count rise) const;
+    spend_limit_curve limit_of(router const& of, token_count above,
+                               token_count rise) const;
     bool commit_row(router& of, spend_row const& row, write_outcome outcome);
     std::vector<store::row> rows_of(router const& of) const;
 
--- a/tests/config/configuration_state_test.cpp
+++ b/tests/config/configuration_state_test.cpp
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT(rc::check(
             []
             {
-                view now;
+                configuration_state now;
                 std::uint64_t served = 0;
                 std::uint64_t named = 0;
                 auto const steps = *rc::gen::inRange(1, 40);
@@ -46,7 +46,7 @@
                     named = from_store ? std::max(named, version) : named;
                     now = from_store ? with_store_version(now, version)
                                      : with_document(now, numbered(version));
-                    auto const document = in_force(now);
+                    auto const document = document_in_force(now);
                     RC_ASSERT(document || served == 0);
                     if (!document)
                     {
@@ -54,8 +54,9 @@
                     }
                     RC_ASSERT(document->version >= served);
                     RC_ASSERT(served != 0 || document->version >= named);
-                    RC_ASSERT(lag(now) == std::max(named, document->version) -
-                                              document->version);
+                    RC_ASSERT(version_lag(now) ==
+                              std::max(named, document->version) -
+                                  document->version);
                     served = document->version;
                 }
             }));
@@ -68,8 +69,8 @@
     {
         auto now = with_document(with_store_version({}, 1), numbered(1));
         now = with_store_version(now, 2);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, in_force(now)->version);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, lag(now));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, document_in_force(now)->version);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, version_lag(now));
     }
 };
 
--- a/tests/config/json_reader_test.cpp
+++ b/tests/config/json_reader_test.cpp
@@ -19,7 +19,7 @@
             R"({"listne": "127.0.0.1:80", "timeout_ms": -1})");
         json_reader reader{value, "/router", faults};
         reader.text("listen");
-        reader.whole("timeout_ms", "milliseconds", 1, 1000);
+        reader.integer("timeout_ms", "milliseconds", 1, 1000);
         reader.finish();
         std::vector<fault> const expected{
             {"/router/listen", "expected text"},
@@ -35,7 +35,7 @@
         auto const value =
             nlohmann::json::parse(R"({"paid": 18446744073709551615})");
         json_reader reader{value, "", faults};
-        reader.whole("paid", "tokens", 0, 1'000'000);
+        reader.integer("paid", "tokens", 0, 1'000'000);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, faults.size());
     }
 
--- a/tests/config/store_test.cpp
+++ b/tests/config/store_test.cpp
@@ -209,15 +209,15 @@
         auto const other = submit_patch(port, request(1, "c"));
         CPPUNIT_ASSERT(other.status == patch_status::conflict);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, other.version);
-        CPPUNIT_ASSERT(!other.same_paths);
+        CPPUNIT_ASSERT(!other.paths_overlap);
         std::vector<change> const expected{
             {"/budgets/b", "", R"({"policy":"overspend_first"})"}};
         CPPUNIT_ASSERT(other.changed == expected);
         auto same = request(1, "d");
         same.patch = {{"budgets", {{"b", nullptr}}}};
-        CPPUNIT_ASSERT(submit_patch(port, same).same_paths);
+        CPPUNIT_ASSERT(submit_patch(port, same).paths_overlap);
         auto const retry = submit_patch(port, request(2, "a"));
-        CPPUNIT_ASSERT(retry.repeated);
+        CPPUNIT_ASSERT(retry.already_accepted);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, retry.version);
         same.id = "a";
         CPPUNIT_ASSERT(submit_patch(port, same).status ==
@@ -249,7 +249,7 @@
         }
         auto const again = submit_patch(good, request(0, "a"));
         CPPUNIT_ASSERT(again.status == patch_status::accepted);
-        CPPUNIT_ASSERT(again.repeated);
+        CPPUNIT_ASSERT(again.already_accepted);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, version_in_force(good));
     }
 
@@ -286,7 +286,7 @@
                        patch_status::invalid);
         CPPUNIT_ASSERT(name_version(port, 3, "replay").status ==
                        patch_status::accepted);
-        CPPUNIT_ASSERT(name_version(port, 3, "replay").repeated);
+        CPPUNIT_ASSERT(name_version(port, 3, "replay").already_accepted);
         CPPUNIT_ASSERT(name_version(port, 9, "no").status ==
                        patch_status::invalid);
         auto const found =
--- a/tests/controllers/budget_controller_test.cpp
+++ b/tests/controllers/budget_controller_test.cpp
@@ -132,7 +132,7 @@
         }
         CPPUNIT_ASSERT(routers.stop());
         auto const found = budget::audit_of(*table, budget_name);
-        CPPUNIT_ASSERT(budget::upholds_formula(found));
+        CPPUNIT_ASSERT(budget::is_consistent(found));
         CPPUNIT_ASSERT_EQUAL(4 * requests, admitted.load());
         CPPUNIT_ASSERT_EQUAL(token_count{4 * requests * cost}, found.billed);
         CPPUNIT_ASSERT_EQUAL(found.billed, found.row.granted);
--- a/tests/controllers/config_controller_test.cpp
+++ b/tests/controllers/config_controller_test.cpp
@@ -160,11 +160,11 @@
     {
         fixture site;
         site.submit_version(0);
-        config::order_drain(site.good, {"router-b"}, "operator", {1});
+        config::command_drain(site.good, {"router-b"}, "operator", {1});
         config_controller controller{site.system, site.good, fast_polling()};
         wait_until([&] { return controller.status().polls > 1; });
         CPPUNIT_ASSERT(!controller.drain_ordered());
-        config::order_drain(site.good, {"router-a"}, "operator", {1});
+        config::command_drain(site.good, {"router-a"}, "operator", {1});
         wait_until([&] { return controller.drain_ordered(); });
     }
 };
--- a/tests/filters/drain_test.cpp
+++ b/tests/filters/drain_test.cpp
@@ -37,7 +37,7 @@
             };
         }
 
-        request::refusal rejection_of(filters::incoming given)
+        request::rejection rejection_of(filters::incoming given)
         {
             filters::context request{this->shared, std::move(given)};
             filters::chain chain{filters::request_filters(), request};
--- a/tests/fleet/crash_fleet.cpp
+++ b/tests/fleet/crash_fleet.cpp
@@ -224,8 +224,8 @@
     auto const one = std::move(found->second);
     running.erase(found);
     this->on_probation[one.router].erase(one.request);
-    auto const cleared = note_answer(this->routers[one.router],
-                                     fingerprint_for(one.request), this->now);
+    auto const cleared = note_response(this->routers[one.router],
+                                       fingerprint_for(one.request), this->now);
     if (cleared)
     {
         this->report_evidence(one.router, one.request);
--- a/tests/fleet/crash_record_test.cpp
+++ b/tests/fleet/crash_record_test.cpp
@@ -59,8 +59,8 @@
         crash_record record;
         auto const known = note_crash(record, one, {}, start);
         note_crash(record, one, known, start);
-        CPPUNIT_ASSERT(note_answer(record, one, start));
-        CPPUNIT_ASSERT(!note_answer(record, one, start));
+        CPPUNIT_ASSERT(note_response(record, one, start));
+        CPPUNIT_ASSERT(!note_response(record, one, start));
         // A report from before the response arrives late.
         note_crash(record, one, known, start);
         CPPUNIT_ASSERT(judge(evidence_of(record, one)) == crash_verdict::clear);
--- a/tests/fleet/placement_test.cpp
+++ b/tests/fleet/placement_test.cpp
@@ -55,19 +55,20 @@
         return table;
     }
 
-    static work prompt(std::uint64_t part, token_count shared = 4'000,
-                       token_count all = 6'000)
+    static placement_request prompt(std::uint64_t part,
+                                    token_count shared = 4'000,
+                                    token_count all = 6'000)
     {
         return {{"llm"}, part, shared, all, 400};
     }
 
     static std::optional<placement>
-    choose(server_table const& table, work const& item,
+    choose(server_table const& table, placement_request const& item,
            std::vector<backend_server_id> const& avoid = {})
     {
-        prompt_memory const memory{100};
+        prefix_history const memory{100};
         auto const of = item.service.value == "llm" ? engines() : plain();
-        return place(table, of, item, memory, avoid, {}, start);
+        return choose_placement(table, of, item, memory, avoid, {}, start);
     }
 
     void a_shared_prefix_stays_at_one_idle_server()
@@ -157,7 +158,7 @@
     void a_server_that_was_tried_is_not_chosen_again()
     {
         auto const table = table_of("app", 2);
-        work const order{{"app"}, 0, 0, 0, 0};
+        placement_request const order{{"app"}, 0, 0, 0, 0};
         auto const first = choose(table, order)->server;
         auto const second = choose(table, order, {first})->server;
         CPPUNIT_ASSERT(first != second);
@@ -172,7 +173,7 @@
                 auto table = table_of("llm", 8);
                 for (auto& [id, one] : table.servers)
                 {
-                    one.entry.leaving = *rc::gen::arbitrary<bool>();
+                    one.entry.draining = *rc::gen::arbitrary<bool>();
                     one.own.open = *rc::gen::inRange(0, 100);
                     one.own.unread = *rc::gen::inRange(0, 100'000);
                     one.own.in_memory = *rc::gen::inRange(0, 600'000);
--- a/tests/fleet/retry_fleet.cpp
+++ b/tests/fleet/retry_fleet.cpp
@@ -162,15 +162,15 @@
     {
         all.push_back(row);
     }
-    this->schedule(
-        this->time + this->call_time,
-        [this, &one, sent = this->time, all = std::move(all)]
-        {
-            if (this->is_running(one))
-            {
-                one.known = seen(std::move(one.known), all, {sent, this->time});
-            }
-        });
+    this->schedule(this->time + this->call_time,
+                   [this, &one, sent = this->time, all = std::move(all)]
+                   {
+                       if (this->is_running(one))
+                       {
+                           one.known = update_membership(
+                               std::move(one.known), all, {sent, this->time});
+                       }
+                   });
 }
 
 void retry_fleet::run_due_tasks(process& one)
@@ -242,8 +242,8 @@
 
 std::int64_t retry_fleet::sharers(process const& one) const
 {
-    return slack_sharers(one.known, one.lease, one.id, this->limit.window,
-                         this->time);
+    return retry_allowance_sharers(one.known, one.lease, one.id,
+                                   this->limit.window, this->time);
 }
 
 void retry_fleet::retry_all()
@@ -302,13 +302,13 @@
          count_in(this->requested, first - span, first),
          count_in(this->requested, first - span / 2, first + span / 2)});
     auto const taken = count_in(this->retried, first, first + span);
-    return static_cast<double>(taken) - this->limit.slack -
+    return static_cast<double>(taken) - this->limit.allowance -
            this->limit.ratio * static_cast<double>(most);
 }
 
 double retry_fleet::max_excess() const
 {
-    auto worst = -this->limit.slack;
+    auto worst = -this->limit.allowance;
     if (this->retried.empty())
     {
         return worst;
--- a/tests/fleet/retry_fleet.hpp
+++ b/tests/fleet/retry_fleet.hpp
@@ -97,8 +97,8 @@
         duration suspended{};     ///< in total
         instant next_heartbeat{}; ///< by its monotonic clock
         instant next_read{};
-        roster known;
-        slack_lease lease;
+        membership known;
+        retry_allowance_lease lease;
         retry_window window;
     };
     struct call
--- a/tests/fleet/rules_test.cpp
+++ b/tests/fleet/rules_test.cpp
@@ -37,13 +37,16 @@
         state.kind = request_kind::non_idempotent;
         state.sends = 1;
         state.runs = 1;
-        CPPUNIT_ASSERT(!may_send_again(state, attempt_end::in_doubt));
-        CPPUNIT_ASSERT(!may_send_again(state, attempt_end::failed));
+        CPPUNIT_ASSERT(
+            !may_try_another_server(state, attempt_outcome::in_doubt));
+        CPPUNIT_ASSERT(!may_try_another_server(state, attempt_outcome::failed));
         state.kind = request_kind::streaming;
-        CPPUNIT_ASSERT(!may_send_again(state, attempt_end::in_doubt));
+        CPPUNIT_ASSERT(
+            !may_try_another_server(state, attempt_outcome::in_doubt));
         state.resumable = true;
         state.max_servers = 2;
-        CPPUNIT_ASSERT(may_send_again(state, attempt_end::in_doubt));
+        CPPUNIT_ASSERT(
+            may_try_another_server(state, attempt_outcome::in_doubt));
     }
 
     // A caller that receives "not run" retries its order. If the order had run,
@@ -52,11 +55,15 @@
     {
         attempt_state state;
         state.sends = 2;
-        CPPUNIT_ASSERT_EQUAL(503, final_status(state, attempt_end::not_run));
-        CPPUNIT_ASSERT_EQUAL(503, final_status(state, attempt_end::expired));
+        CPPUNIT_ASSERT_EQUAL(503,
+                             final_status(state, attempt_outcome::not_run));
+        CPPUNIT_ASSERT_EQUAL(503,
+                             final_status(state, attempt_outcome::expired));
         state.runs = 1;
-        CPPUNIT_ASSERT_EQUAL(502, final_status(state, attempt_end::not_run));
-        CPPUNIT_ASSERT_EQUAL(504, final_status(state, attempt_end::expired));
+        CPPUNIT_ASSERT_EQUAL(502,
+                             final_status(state, attempt_outcome::not_run));
+        CPPUNIT_ASSERT_EQUAL(504,
+                             final_status(state, attempt_outcome::expired));
     }
 
     void an_idempotent_request_is_retried_on_a_limited_number_of_servers()
@@ -66,12 +73,13 @@
         state.max_servers = 2;
         state.sends = 1;
         state.runs = 1;
-        CPPUNIT_ASSERT(may_send_again(state, attempt_end::failed));
+        CPPUNIT_ASSERT(may_try_another_server(state, attempt_outcome::failed));
         state.runs = 2;
-        CPPUNIT_ASSERT(!may_send_again(state, attempt_end::failed));
+        CPPUNIT_ASSERT(!may_try_another_server(state, attempt_outcome::failed));
         state.runs = 0;
         state.sends = max_sends;
-        CPPUNIT_ASSERT(!may_send_again(state, attempt_end::not_reached));
+        CPPUNIT_ASSERT(
+            !may_try_another_server(state, attempt_outcome::not_reached));
     }
 
     // Engines fail a part of their requests. Without a limit for all routers
@@ -101,7 +109,7 @@
                               0);
                 }
                 RC_ASSERT(static_cast<double>(taken) <=
-                          limit.ratio * requests * routers + limit.slack);
+                          limit.ratio * requests * routers + limit.allowance);
             }));
     }
 
@@ -113,7 +121,7 @@
                 std::string const all =
                     "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
                     "id: 3\ndata: c\ndata: d\n\n";
-                event_scan scan;
+                event_splitter scan;
                 std::string forwarded;
                 for (std::size_t at = 0; at < all.size();)
                 {
@@ -136,7 +144,7 @@
     // would read a mix of both.
     void an_incomplete_event_is_not_forwarded()
     {
-        event_scan scan;
+        event_splitter scan;
         CPPUNIT_ASSERT_EQUAL(std::string{"id: 1\ndata: a\n\n"},
                              scan.feed("id: 1\ndata: a\n\nid: 2\ndata: b"));
         CPPUNIT_ASSERT_EQUAL(std::string{"id: 2\ndata: b"}, scan.take_rest());
@@ -150,8 +158,8 @@
     void a_router_without_heartbeats_is_not_counted()
     {
         std::vector<heartbeat> rows{{{"a"}, "x", 1}, {{"b"}, "y", 2}};
-        auto known = seen({}, rows, {start, start});
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, alive(known));
+        auto known = update_membership({}, rows, {start, start});
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, live_router_count(known));
         auto at = start;
         auto const read_until = [&](instant end)
         {
@@ -159,15 +167,16 @@
             {
                 at = at + heartbeat_interval;
                 rows[0].version += 2;
-                known = seen(known, rows, {at, at});
+                known = update_membership(known, rows, {at, at});
             }
         };
         read_until(start + member_lifetime);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, alive(known));
-        CPPUNIT_ASSERT(dead(known, {"a"}).empty());
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, live_router_count(known));
+        CPPUNIT_ASSERT(dead_routers_to_remove(known, {"a"}).empty());
         read_until(start + row_lifetime + duration{1});
-        CPPUNIT_ASSERT_EQUAL(std::string{"b"}, dead(known, {"a"}).at(0).value);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, alive({}));
+        CPPUNIT_ASSERT_EQUAL(std::string{"b"},
+                             dead_routers_to_remove(known, {"a"}).at(0).value);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, live_router_count({}));
     }
 
     // No heartbeat is written or read in an outage of the store of one minute.
@@ -184,12 +193,12 @@
                 rows.push_back({{"r" + number}, number, 1});
             }
             auto const count = static_cast<std::int64_t>(routers);
-            auto known = seen({}, rows, {start, start});
+            auto known = update_membership({}, rows, {start, start});
             auto const back = start + duration{60'000};
-            known = seen(known, rows, {back, back});
-            CPPUNIT_ASSERT_EQUAL(count, alive(known));
+            known = update_membership(known, rows, {back, back});
+            CPPUNIT_ASSERT_EQUAL(count, live_router_count(known));
             CPPUNIT_ASSERT_EQUAL(count, alive_vms(known));
-            CPPUNIT_ASSERT(dead(known, {"r0"}).empty());
+            CPPUNIT_ASSERT(dead_routers_to_remove(known, {"r0"}).empty());
             // One router does not return; the others send heartbeats again.
             auto at = back;
             while (at < back + read_interval(known) + member_lifetime)
@@ -199,9 +208,9 @@
                 {
                     rows[i].version += 1;
                 }
-                known = seen(known, rows, {at, at});
+                known = update_membership(known, rows, {at, at});
             }
-            CPPUNIT_ASSERT_EQUAL(count - 1, alive(known));
+            CPPUNIT_ASSERT_EQUAL(count - 1, live_router_count(known));
         }
     }
 
@@ -217,7 +226,7 @@
             rows.push_back({{"vm-" + number + "-old"}, number, 1});
             rows.push_back({{"vm-" + number + "-new"}, number, 1});
         }
-        roster known;
+        membership known;
         for (auto at = start; at <= start + row_lifetime + heartbeat_interval;
              at = at + heartbeat_interval)
         {
@@ -225,12 +234,13 @@
             {
                 rows[i].version += 1;
             }
-            known = seen(known, rows, {at, at});
+            known = update_membership(known, rows, {at, at});
         }
         std::map<std::string, int> removals;
         for (std::size_t i = 1; i < rows.size(); i += 2)
         {
-            for (auto const& one : dead(known, rows[i].router))
+            for (auto const& one :
+                 dead_routers_to_remove(known, rows[i].router))
             {
                 removals[one.value] += 1;
             }
@@ -263,11 +273,11 @@
     // Guards against sending tokens to the previous process.
     void of_two_incarnations_at_an_address_the_later_is_live()
     {
-        auto const known = seen({},
-                                {{{"a-1"}, "10.0.0.1:7", 5},
-                                 {{"a-2"}, "10.0.0.1:7", 9},
-                                 {{"b-1"}, "10.0.0.2:7", 6}},
-                                {instant{1'000}, instant{1'010}});
+        auto const known = update_membership({},
+                                             {{{"a-1"}, "10.0.0.1:7", 5},
+                                              {{"a-2"}, "10.0.0.1:7", 9},
+                                              {{"b-1"}, "10.0.0.2:7", 6}},
+                                             {instant{1'000}, instant{1'010}});
         auto const live = live_routers(known);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, live.size());
         CPPUNIT_ASSERT(live.at("10.0.0.1:7") == incarnation_id{"a-2"});
--- a/tests/fleet/shutdown_test.cpp
+++ b/tests/fleet/shutdown_test.cpp
@@ -40,12 +40,12 @@
             {
                 auto const stop = schedule_shutdown(start, {span});
                 RC_ASSERT(stop.began <= stop.out_of_rotation);
-                RC_ASSERT(stop.out_of_rotation <= stop.answers_due);
-                RC_ASSERT(stop.answers_due <= stop.exit_due);
+                RC_ASSERT(stop.out_of_rotation <= stop.responses_due);
+                RC_ASSERT(stop.responses_due <= stop.exit_due);
                 RC_ASSERT(stop.exit_due <= start + duration{span});
                 if (span >= 100)
                 {
-                    RC_ASSERT(stop.answers_due < stop.exit_due);
+                    RC_ASSERT(stop.responses_due < stop.exit_due);
                     RC_ASSERT(stop.exit_due < start + duration{span});
                 }
             });
@@ -64,8 +64,8 @@
                 auto const begins =
                     may_begin(stop, now, duration{expected}, deadline);
                 auto const ends = std::min(now + duration{expected}, deadline);
-                RC_ASSERT(begins ==
-                          (now < stop.answers_due && ends <= stop.answers_due));
+                RC_ASSERT(begins == (now < stop.responses_due &&
+                                     ends <= stop.responses_due));
             });
     }
 
@@ -74,12 +74,12 @@
     void requests_of_unknown_duration_are_started_early_in_a_stop()
     {
         auto const stop = schedule_shutdown(start, grace);
-        auto const late = stop.answers_due + duration{1};
+        auto const late = stop.responses_due + duration{1};
         CPPUNIT_ASSERT(may_begin(stop, start, std::nullopt, late));
         CPPUNIT_ASSERT(
             !may_begin(stop, stop.out_of_rotation, std::nullopt, late));
         CPPUNIT_ASSERT(may_begin(stop, stop.out_of_rotation, std::nullopt,
-                                 stop.answers_due));
+                                 stop.responses_due));
         CPPUNIT_ASSERT(!may_begin(stop, start, duration{30'000}, late));
     }
 
@@ -98,7 +98,7 @@
     void a_process_ends_before_it_is_killed()
     {
         auto const stop = schedule_shutdown(start, grace);
-        shutdown_work const all{true, true, stop.answers_due};
+        shutdown_work const all{true, true, stop.responses_due};
         CPPUNIT_ASSERT(may_exit(stop, stop.exit_due, all));
         CPPUNIT_ASSERT(stop.exit_due < start + grace);
     }
@@ -109,7 +109,7 @@
         auto const stop = schedule_shutdown(start, grace);
         shutdown_work const idle{false, true, std::nullopt};
         CPPUNIT_ASSERT(!may_exit(stop, stop.out_of_rotation, idle));
-        CPPUNIT_ASSERT(may_exit(stop, stop.answers_due, idle));
+        CPPUNIT_ASSERT(may_exit(stop, stop.responses_due, idle));
         CPPUNIT_ASSERT(may_exit(stop, stop.out_of_rotation, {}));
         CPPUNIT_ASSERT(!may_exit(stop, start, {}));
     }
@@ -118,9 +118,9 @@
     void the_process_waits_for_the_return_of_tokens()
     {
         auto const stop = schedule_shutdown(start, grace);
-        auto const soon = stop.answers_due + duration{100};
+        auto const soon = stop.responses_due + duration{100};
         shutdown_work left;
-        left.returning_since = stop.answers_due;
+        left.returning_since = stop.responses_due;
         CPPUNIT_ASSERT(!may_exit(stop, soon, left));
         CPPUNIT_ASSERT(may_exit(stop, stop.exit_due, left));
         left.returning_since = stop.out_of_rotation;
--- a/tests/fleet/uplink_test.cpp
+++ b/tests/fleet/uplink_test.cpp
@@ -28,13 +28,13 @@
 
     struct simulation
     {
-        own_link link;
+        uplink link;
         instant now{10'000};
         bool shed{false}; ///< at any time in the latest run
 
         simulation()
         {
-            this->link = confirmed(this->link);
+            this->link = note_configuration_confirmed(this->link);
         }
 
         void run(duration span, pattern const& what)
@@ -53,17 +53,17 @@
         {
             if (what.store)
             {
-                this->link = confirmed(this->link);
+                this->link = note_configuration_confirmed(this->link);
             }
             for (int i = 0; i < what.answered; ++i)
             {
-                this->link = server_tried(this->link, true, this->now);
+                this->link = note_connect_result(this->link, true, this->now);
             }
             for (int i = 0; i < what.silent; ++i)
             {
-                this->link = server_tried(this->link, false, this->now);
+                this->link = note_connect_result(this->link, false, this->now);
             }
-            this->link = looked_at(this->link, this->now);
+            this->link = advance_time(this->link, this->now);
         }
     };
 
--- a/tests/gateway/spend_row_writer_test.cpp
+++ b/tests/gateway/spend_row_writer_test.cpp
@@ -29,20 +29,22 @@
         int null_device{open("/dev/null", O_WRONLY | O_CLOEXEC)};
         decision_log log{loop.get_executor(), null_device, "vm-1"};
         std::vector<commit_reply> writes;
-        spend_keeper writer{loop.get_executor(),
-                            port(),
-                            "vm-1",
-                            "10.0.0.1:80",
-                            {"vm-1-1"},
-                            {[] {
-                                 return std::map<budget_id, budget::spend_line>{
-                                     {taller, {300, 1'000}}};
-                             },
-                             [] { return std::optional<store::row_write>{}; },
-                             [] { return duration{300}; }, [] {},
-                             [](auto const&, auto const&) {
-                             }},
-                            log};
+        spend_keeper writer{
+            loop.get_executor(),
+            port(),
+            "vm-1",
+            "10.0.0.1:80",
+            {"vm-1-1"},
+            {[]
+             {
+                 return std::map<budget_id, budget::spend_limit_curve>{
+                     {taller, {300, 1'000}}};
+             },
+             [] { return std::optional<store::row_write>{}; },
+             [] { return duration{300}; }, [] {},
+             [](auto const&, auto const&) {
+             }},
+            log};
 
         writer_fixture()
         {
@@ -106,7 +108,7 @@
     {
         writer_fixture fixture;
         auto const now = caperpath::clock::monotonic().now();
-        auto const later = now + budget::flat_for + duration{300};
+        auto const later = now + budget::flat_period + duration{300};
         auto const limit = fixture.writer.limit(taller, {90'000, 0}, later);
         CPPUNIT_ASSERT(limit >= 300);
         CPPUNIT_ASSERT(limit < 90'000);
--- a/tests/observe/command_line_test.cpp
+++ b/tests/observe/command_line_test.cpp
@@ -33,7 +33,7 @@
                              std::vector<config::fault>& faults)
     {
         config::json_reader reader{value, "", faults};
-        auto const limit = reader.whole("limit", "writes", 1, 100);
+        auto const limit = reader.integer("limit", "writes", 1, 100);
         reader.finish();
         return limit;
     }
--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -173,7 +173,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"a"}, entry.service.value);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{64}, entry.slots);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1'700'000'000'000}, entry.born_ms);
-        CPPUNIT_ASSERT(!entry.leaving);
+        CPPUNIT_ASSERT(!entry.draining);
     }
 
     // Another program writes the rows of the server table. A router must not
--- a/tests/request/claim_simulation.cpp
+++ b/tests/request/claim_simulation.cpp
@@ -152,7 +152,7 @@
         this->run_claimed(router, begun, key);
         break;
     case request::claim_verdict::replay:
-        record.responses.push_back(begun.reply.answer.body);
+        record.responses.push_back(begun.reply.response.body);
         break;
     case request::claim_verdict::unknown:
         record.executions_at_unknown = record.executions;
@@ -160,14 +160,14 @@
     default:
         break;
     }
-    if (begun.doubtful)
+    if (begun.uncertain)
     {
-        this->withdraw(router, *begun.doubtful);
+        this->withdraw(router, *begun.uncertain);
     }
 }
 
 void claim_simulation::run_claimed(int router,
-                                   request::begun_claim const& begun,
+                                   request::begin_result const& begun,
                                    std::string const& key)
 {
     auto& record = this->by_key[key];
@@ -183,7 +183,7 @@
     {
         ++record.executions;
         finish.result = request::claim_result::completed;
-        finish.answer = {
+        finish.response = {
             200, "text/plain",
             "run " + std::to_string(record.executions) +
                 std::string(record.executions % 2 == 0 ? 0 : 5'000, 'x')};
@@ -203,13 +203,13 @@
     }
     auto const store = this->store_of(router);
     std::uint64_t version = 0;
-    auto end = request::claim_end::pending;
-    while (end == request::claim_end::pending)
+    auto end = request::finish_result::pending;
+    while (end == request::finish_result::pending)
     {
         end = request::finish_claim(store, *begun.held, finish, version);
         this->pass(router);
     }
-    if (end == request::claim_end::superseded)
+    if (end == request::finish_result::superseded)
     {
         return;
     }
@@ -219,7 +219,7 @@
     record.billed += finish.billed;
     if (completed)
     {
-        record.responses.push_back(finish.answer.body);
+        record.responses.push_back(finish.response.body);
     }
 }
 
--- a/tests/request/claim_simulation.hpp
+++ b/tests/request/claim_simulation.hpp
@@ -75,7 +75,7 @@
     int random_below(int limit);
     void call(int router, std::string const& key, std::string const& body);
     void serve(int router, std::string const& key, std::string const& body);
-    void run_claimed(int router, request::begun_claim const& begun,
+    void run_claimed(int router, request::begin_result const& begun,
                      std::string const& key);
     void bill(int router, std::string const& key, std::int64_t tokens);
     void withdraw(int router, request::held_claim const& doubtful);
--- a/tests/request/claim_simulation_check.cpp
+++ b/tests/request/claim_simulation_check.cpp
@@ -125,7 +125,7 @@
                "with one";
     }
     if (!record.responses.empty() &&
-        last.answer.body != record.responses.front())
+        last.response.body != record.responses.front())
     {
         return "a retry gets a different response";
     }
--- a/tests/request/claim_test.cpp
+++ b/tests/request/claim_test.cpp
@@ -31,7 +31,7 @@
                 row.ticket = "r1-1";
                 row.body_hash = "abc";
                 row.idempotent = idempotent;
-                row.answer = {200, "text/plain", body};
+                row.response = {200, "text/plain", body};
                 RC_ASSERT(request::decode_claim(request::encode(row)).value() ==
                           row);
             });
--- a/tests/request/response_test.cpp
+++ b/tests/request/response_test.cpp
@@ -22,7 +22,7 @@
     CPPUNIT_TEST(silence_timeout_follows_the_gaps);
     CPPUNIT_TEST_SUITE_END();
 
-    static answer_state fresh(std::int64_t max_tokens = 1'000)
+    static response_state fresh(std::int64_t max_tokens = 1'000)
     {
         return {{"r"}, 1, 0, max_tokens, "", std::nullopt, false};
     }
@@ -73,7 +73,7 @@
     {
         auto const state = accept(fresh(), token("r", 1, 0)).state;
         engine_event done;
-        done.what = engine_event::kind::done;
+        done.type = engine_event::kind::done;
         CPPUNIT_ASSERT(accept(state, done).verdict == acceptance::broken);
     }
 
@@ -85,7 +85,7 @@
         state = accept(state, token("r", 1, 0)).state;
         state = accept(state, token("r", 1, 1)).state;
         auto const result = accept(state, token("r", 1, 2));
-        CPPUNIT_ASSERT(result.verdict == acceptance::cut);
+        CPPUNIT_ASSERT(result.verdict == acceptance::truncate);
         CPPUNIT_ASSERT(result.state.done);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, result.state.next_offset);
     }
@@ -138,10 +138,10 @@
         int retries = 0;
         for (int i = 0; i < requests; ++i)
         {
-            state = earned(state);
+            state = credit_request(state);
             while (may_retry(state))
             {
-                state = spent(state);
+                state = debit_retry(state);
                 ++retries;
             }
         }
@@ -151,19 +151,19 @@
     void silence_timeout_follows_the_gaps()
     {
         gap_tracker state;
-        CPPUNIT_ASSERT(silence_bound(state) == gap_tracker::initial_bound);
+        CPPUNIT_ASSERT(silence_timeout(state) == gap_tracker::initial_timeout);
         for (int i = 0; i < 100; ++i)
         {
-            state = observed(state, {40});
+            state = record_gap(state, {40});
         }
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{80}, silence_bound(state).ms);
-        state = observed(state, {400});
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{800}, silence_bound(state).ms);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{80}, silence_timeout(state).ms);
+        state = record_gap(state, {400});
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{800}, silence_timeout(state).ms);
         for (int i = 0; i < 200; ++i)
         {
-            state = observed(state, {40});
+            state = record_gap(state, {40});
         }
-        CPPUNIT_ASSERT(silence_bound(state) <= duration{100});
+        CPPUNIT_ASSERT(silence_timeout(state) <= duration{100});
     }
 };
 
--- a/tests/routing/policy_test.cpp
+++ b/tests/routing/policy_test.cpp
@@ -101,14 +101,14 @@
     {
         backend_view server;
         instant const now{1'000};
-        server = failed(failed(server, now), now);
+        server = record_failure(record_failure(server, now), now);
         CPPUNIT_ASSERT(usable(server, now));
-        server = failed(server, now);
+        server = record_failure(server, now);
         CPPUNIT_ASSERT(!usable(server, now));
         CPPUNIT_ASSERT(usable(server, now + duration{500}));
-        server = failed(server, now);
+        server = record_failure(server, now);
         CPPUNIT_ASSERT(!usable(server, now + duration{999}));
-        CPPUNIT_ASSERT(usable(succeeded(server), now));
+        CPPUNIT_ASSERT(usable(record_success(server), now));
     }
 
     void limits_are_enforced_and_refill()
@@ -118,13 +118,13 @@
         auto decision = admit(state, bounds, 600, {0});
         CPPUNIT_ASSERT(decision.verdict == limit_verdict::admitted);
         decision = admit(decision.state, bounds, 600, {0});
-        CPPUNIT_ASSERT(decision.verdict == limit_verdict::too_fast);
+        CPPUNIT_ASSERT(decision.verdict == limit_verdict::rate_exceeded);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{201}, decision.retry_after.ms);
         decision = admit(decision.state, bounds, 600, {201});
         CPPUNIT_ASSERT(decision.verdict == limit_verdict::admitted);
         decision = admit(decision.state, bounds, 1, {5'000});
-        CPPUNIT_ASSERT(decision.verdict == limit_verdict::too_many_open);
-        state = released(decision.state, bounds, 0);
+        CPPUNIT_ASSERT(decision.verdict == limit_verdict::concurrency_exceeded);
+        state = release(decision.state, bounds, 0);
         CPPUNIT_ASSERT(admit(state, bounds, 1, {5'000}).verdict ==
                        limit_verdict::admitted);
     }
