--- a/bench/budget_fleet_run.hpp
+++ b/bench/budget_fleet_run.hpp
@@ -196,7 +196,7 @@
     if (!this->reaches_store(at))
     {
         auto const refused =
-            store::commit_result{store::commit_outcome::refused, {}, {}};
+            store::commit_result{store::commit_outcome::rejected, {}, {}};
         this->loop.after(one_way, [done, refused] { done(refused); });
         return;
     }
@@ -208,7 +208,7 @@
         {
             auto outcome = this->table->commit(txn);
             this->sums.refused_writes +=
-                outcome.outcome == store::commit_outcome::refused ? 1 : 0;
+                outcome.outcome == store::commit_outcome::rejected ? 1 : 0;
             auto const back = is_lost ? fleet_times::call_timeout : one_way;
             if (is_lost)
             {
--- a/bench/configuration_size.cpp
+++ b/bench/configuration_size.cpp
@@ -112,11 +112,11 @@
     fake_server server{loop, [&body](fake_server::request const& got)
                        {
                            return gateway::script{
-                               {gateway::whole_answer(got, 200, body)}};
+                               {gateway::complete_response(got, 200, body)}};
                        }};
     constexpr duration patience{60'000};
     auto const port =
-        platform::make_store_port(std::make_shared<gateway::http_caller>(
+        platform::make_store_port(std::make_shared<gateway::http_client>(
                                       loop.get_executor(), server.address()),
                                   server.address(), patience);
     std::optional<store::feed_page> page;
@@ -142,7 +142,7 @@
     auto const body = stored(configuration(routes));
     double read_ms = 0;
     auto const page = read(body, read_ms);
-    auto const names = platform::make_dialect();
+    auto const names = platform::make_protocol_adapter();
     auto const before_text = processor_ms();
     auto parts =
         std::get<fleet::site_parts>(names.read_site(page.rows.front().value));
--- a/bench/outcomes_streams.hpp
+++ b/bench/outcomes_streams.hpp
@@ -96,7 +96,7 @@
     }
     sleep({1'000});
     auto const ordered = time_source().now();
-    here.order_engine(0, "leave");
+    here.command_engine(0, "leave");
     auto last = ordered;
     auto runs = here.engine_stats(0)["runs"].size();
     while (time_source().now() < ordered + watched)
@@ -152,7 +152,7 @@
             {"stop_ms", took.ms},
             {"clean", report.clean},
             {"unsettled_bills", report.unsettled_bills},
-            {"unended_claims", report.unended_claims}};
+            {"unended_claims", report.unfinished_claims}};
 }
 
 } // namespace caperpath::bench
--- a/include/caperpath/budget/share.hpp
+++ b/include/caperpath/budget/share.hpp
@@ -105,7 +105,7 @@
     token_count received{}; ///< from other routers, in addition to draws
     token_count given{};    ///< to other routers; counted as spent here
     /// This router requests tokens from other routers, and draws from the
-    /// budget row only while `draws` is set.
+    /// budget row only while `may_draw_from_store` is set.
     bool has_peers{false};
     bool may_draw_from_store{true};
 
--- a/include/caperpath/config/json_reader.hpp
+++ b/include/caperpath/config/json_reader.hpp
@@ -41,7 +41,7 @@
     std::int64_t integer(std::string_view key, std::string_view unit,
                          std::int64_t least, std::int64_t most);
 
-    /// As `whole`, but returns `fallback` for a missing member.
+    /// As `integer`, but returns `fallback` for a missing member.
     std::int64_t integer_or(std::string_view key, std::string_view unit,
                             std::int64_t least, std::int64_t most,
                             std::int64_t fallback);
--- a/include/caperpath/controllers/backend_controller.hpp
+++ b/include/caperpath/controllers/backend_controller.hpp
@@ -29,12 +29,12 @@
 struct load_report
 {
     backend_server_id id;
-    bool answered{false};
+    bool responded{false};
     std::int64_t running{};
     std::int64_t queued{};
     std::int64_t slots{};
     duration age; ///< age of the report when it was received
-    bool leaving{false};
+    bool draining{false};
 
     friend bool operator==(load_report const&, load_report const&) = default;
 };
--- a/include/caperpath/controllers/claim_controller.hpp
+++ b/include/caperpath/controllers/claim_controller.hpp
@@ -30,16 +30,16 @@
     duration finish_wait{2'000}; ///< longest time that `finish` blocks
     /// Number of finished claims that this process tracks in order to delete
     /// them later. Beyond it the oldest are dropped and stay in the table.
-    std::size_t most_kept{100'000};
+    std::size_t max_tracked{100'000};
 };
 
 /// Numbers of claims now, or when `stop` ended. Immutable value.
 struct claim_report
 {
-    std::size_t open{};     ///< of running requests
-    std::size_t pending{};  ///< ended, but the end is not yet written
-    std::size_t doubtful{}; ///< may be in the table without a runner
-    std::size_t kept{};     ///< to be deleted after their retention
+    std::size_t open{};      ///< of running requests
+    std::size_t pending{};   ///< ended, but the end is not yet written
+    std::size_t uncertain{}; ///< may be in the table without a runner
+    std::size_t expiring{};  ///< to be deleted after their retention
 
     friend bool operator==(claim_report const&, claim_report const&) = default;
 };
--- a/include/caperpath/controllers/config_controller.hpp
+++ b/include/caperpath/controllers/config_controller.hpp
@@ -35,7 +35,7 @@
     std::uint64_t loads{};         ///< documents accepted, from store or peers
     std::uint64_t polls{};
     std::uint64_t failed_polls{};
-    std::uint64_t refused_offers{}; ///< damaged or older documents from peers
+    std::uint64_t rejected_offers{}; ///< damaged or older documents from peers
 
     friend bool operator==(config_status const&,
                            config_status const&) = default;
@@ -67,7 +67,7 @@
 
     /// True once an operator's drain command for this incarnation was read; the
     /// process should then stop as on a termination signal. Stays true.
-    bool drain_ordered() const;
+    bool drain_commanded() const;
 
     config_status status() const;
 
--- a/include/caperpath/fleet/membership.hpp
+++ b/include/caperpath/fleet/membership.hpp
@@ -40,7 +40,7 @@
     std::string address;
     std::uint64_t version{};
     instant changed_at{};  ///< end of the first read with this version
-    instant observed_at{}; ///< the same, in `roster::observed` time
+    instant observed_at{}; ///< the same, in `membership::observed` time
 
     friend bool operator==(member const&, member const&) = default;
 };
--- a/include/caperpath/fleet/readiness.hpp
+++ b/include/caperpath/fleet/readiness.hpp
@@ -10,7 +10,7 @@
 /// What a starting router has received so far. Immutable value.
 struct start_progress
 {
-    bool knows_a_budget{false};
+    bool has_read_a_budget{false};
     bool has_shares{false}; ///< of every budget
     /// It has read the crash record.
     bool knows_crashes{false};
--- a/include/caperpath/fleet/retry_window.hpp
+++ b/include/caperpath/fleet/retry_window.hpp
@@ -14,8 +14,8 @@
 {
 
 /// The fleet's limit: in any `window` a service gets at most `ratio` x its
-/// requests + `slack` retries. The requests are those of that window or of the
-/// one before it, whichever are more.
+/// requests + `allowance` retries. The requests are those of that window or of
+/// the one before it, whichever are more.
 struct retry_limit
 {
     double ratio{0.2};
--- a/include/caperpath/observe/log.hpp
+++ b/include/caperpath/observe/log.hpp
@@ -20,14 +20,14 @@
 
 /// A source location. Replaces `std::source_location`, which clang-tidy 14
 /// cannot parse in this standard library. Immutable value.
-struct code_place
+struct source_location
 {
     char const* file{};
     int line{};
 
     /// Returns the location of the call when used as a default argument.
-    static constexpr code_place current(char const* file = __builtin_FILE(),
-                                        int line = __builtin_LINE())
+    static constexpr source_location
+    current(char const* file = __builtin_FILE(), int line = __builtin_LINE())
     {
         return {file, line};
     }
@@ -52,15 +52,15 @@
 
 /// Each writes one line at its severity. Thread safe.
 void log_info(log_context const& context, std::string_view detail,
-              code_place at = code_place::current());
+              source_location at = source_location::current());
 void log_warning(log_context const& context, std::string_view detail,
-                 code_place at = code_place::current());
+                 source_location at = source_location::current());
 void log_error(log_context const& context, std::string_view detail,
-               code_place at = code_place::current());
+               source_location at = source_location::current());
 
 /// Logs a warning with the step, peer, kind and detail of `fault`. Thread safe.
-void log_fault(std::string_view request, error const& fault,
-               code_place at = code_place::current());
+void log_failure(std::string_view request, error const& fault,
+                 source_location at = source_location::current());
 
 } // namespace caperpath::observe
 
--- a/include/caperpath/observe/metrics.hpp
+++ b/include/caperpath/observe/metrics.hpp
@@ -31,7 +31,7 @@
 
     /// Counts a rejection by its stable code. After `max_refusal_codes`
     /// distinct codes, new ones are counted as "other".
-    void refused(std::string_view code);
+    void request_rejected(std::string_view code);
 
     /// Tracks open response streams. @pre each opened stream is closed once.
     void stream_opened();
--- a/include/caperpath/request/claim.hpp
+++ b/include/caperpath/request/claim.hpp
@@ -39,7 +39,7 @@
 enum class claim_verdict
 {
     run,         ///< the claim is durable; run the request
-    replay,      ///< it ran; `answer` is its response
+    replay,      ///< it ran; `response` is its response
     in_progress, ///< another client runs it: 409 with Retry-After
     mismatch,    ///< same key, different body: 422
     unknown,     ///< its runner died, it may have run; final if not idempotent
@@ -61,7 +61,7 @@
 
 enum class claim_result
 {
-    completed, ///< `answer` is stored for retries
+    completed, ///< `response` is stored for retries
     not_run,   ///< proved; a retry may run it
     unknown    ///< it may have run
 };
--- a/include/caperpath/request/claim_state.hpp
+++ b/include/caperpath/request/claim_state.hpp
@@ -27,7 +27,7 @@
 enum class claim_state
 {
     claimed, ///< its holder may run it or has run it
-    done,    ///< `answer` is the response; final
+    done,    ///< `response` is the response; final
     not_run, ///< proved by its holder; a retry may run it
     unknown  ///< it may have run; final unless idempotent
 };
--- a/include/caperpath/request/claim_store.hpp
+++ b/include/caperpath/request/claim_store.hpp
@@ -54,7 +54,7 @@
                          claimant const& self);
 
 /// Tries once to write the end of a run. If it returns `pending`, call it again
-/// with the same arguments. If it returns `kept`, it sets `version` to the
+/// with the same arguments. If it returns `stored`, it sets `version` to the
 /// row's version. Blocks for the store calls.
 finish_result finish_claim(claim_store const& store, held_claim const& held,
                            claim_finish const& finish, std::uint64_t& version);
--- a/include/caperpath/request/response.hpp
+++ b/include/caperpath/request/response.hpp
@@ -36,7 +36,7 @@
 };
 
 /// Thread safe. Decodes the `data` of one server-sent event; the kind is
-/// `garbled` if that fails.
+/// `malformed` if that fails.
 engine_event decode_engine_event(std::string_view data);
 
 /// The part of one response accepted so far, over all its attempts. Immutable
--- a/include/caperpath/routing/backend_port.hpp
+++ b/include/caperpath/routing/backend_port.hpp
@@ -29,7 +29,7 @@
 enum class choice
 {
     chosen,
-    none_usable,  ///< every server is draining, ejected or in `avoid`
+    none_usable,  ///< every server is draining, ejected or in `excluded`
     no_retry_left ///< the retry budget is exhausted
 };
 
--- a/include/caperpath/store/async_port.hpp
+++ b/include/caperpath/store/async_port.hpp
@@ -20,7 +20,7 @@
 /// Returns the table that holds caperpath's rows of a kind, where the kind is
 /// the text before the first "/" of their keys. Each kind has its own table so
 /// that a router which follows one kind does not read all others. Thread safe.
-inline std::string own_table(std::string const& kind)
+inline std::string table_for_kind(std::string const& kind)
 {
     return "caperpath-" + kind;
 }
@@ -40,8 +40,9 @@
 struct read_cost
 {
     std::int64_t bytes{};
-    duration answered{}; ///< from the call to the first byte of the response
-    duration took{};     ///< from the call to its last byte
+    duration time_to_first_byte{}; ///< from the call to the first byte of the
+                                   ///< response
+    duration total_time{};         ///< from the call to its last byte
 
     friend bool operator==(read_cost const&, read_cost const&) = default;
 };
@@ -57,7 +58,7 @@
 };
 
 template <class Value>
-using reply = std::function<void(std::variant<Value, error>)>;
+using result_callback = std::function<void(std::variant<Value, error>)>;
 
 /// A call without a response within its timeout ends with `timeout`; a write is
 /// then `unknown`. A struct of functions; use it on the loop's thread only.
@@ -67,13 +68,13 @@
         commit;
 
     /// Reads the row `key`; gives a row with version 0 if there is none.
-    std::function<void(std::string const& key, reply<row>)> read;
+    std::function<void(std::string const& key, result_callback<row>)> read;
 
     /// Reads all of caperpath's rows from key `first` up to, but not including,
     /// key `last`.
     /// @pre both keys name the same partition.
     std::function<void(std::string const& first, std::string const& last,
-                       reply<std::vector<row>>)>
+                       result_callback<std::vector<row>>)>
         scan;
 
     /// Reads all rows of a table that other programs write. For a table of
@@ -81,7 +82,7 @@
     /// are spread over many partitions. Each response must begin within
     /// `answer_within`.
     std::function<void(std::string const& table, duration answer_within,
-                       reply<feed_page>)>
+                       result_callback<feed_page>)>
         list;
 
     /// Reads the changes after `since`, as soon as there is one, or none after
@@ -89,7 +90,8 @@
     /// with `not_found` if that part of the history no longer exists: call
     /// `list` again.
     std::function<void(std::string const& table, std::uint64_t since,
-                       duration wait, duration answer_within, reply<feed_page>)>
+                       duration wait, duration answer_within,
+                       result_callback<feed_page>)>
         follow;
 };
 
--- a/include/caperpath/store/memory_table.hpp
+++ b/include/caperpath/store/memory_table.hpp
@@ -15,9 +15,9 @@
 enum class injected_fault
 {
     none,
-    outage,     ///< no effect; the caller is told that the call failed
-    lost_call,  ///< no effect; the caller gets no response
-    lost_answer ///< takes effect; the caller gets no response
+    outage,       ///< no effect; the caller is told that the call failed
+    lost_call,    ///< no effect; the caller gets no response
+    lost_response ///< takes effect; the caller gets no response
 };
 
 /// A table, object store and VM list held in memory. The platform emulator
--- a/include/caperpath/store/table.hpp
+++ b/include/caperpath/store/table.hpp
@@ -52,9 +52,9 @@
 
 enum class commit_outcome
 {
-    applied, ///< took effect
-    refused, ///< a condition failed, or the write was rejected; no effect
-    unknown  ///< no response: it may or may not have taken effect
+    applied,  ///< took effect
+    rejected, ///< a condition failed, or the write was rejected; no effect
+    unknown   ///< no response: it may or may not have taken effect
 };
 
 /// `failed` holds the current state of the rows whose condition did not hold;
@@ -102,7 +102,7 @@
 /// a table in memory. Each call blocks and may be made from any thread.
 struct port
 {
-    /// Never throws, and never returns `refused` if the write took effect.
+    /// Never throws, and never returns `rejected` if the write took effect.
     std::function<commit_result(transaction const&)> commit;
 
     /// Returns the rows that exist among `keys`, in no particular order. Counts
--- a/include/caperpath/store/wire.hpp
+++ b/include/caperpath/store/wire.hpp
@@ -10,10 +10,10 @@
 
 /// The JSON that the platform's client and its emulator exchange over HTTP:
 ///
-///     POST /table/commit   transaction    -> applied | refusal
+///     POST /table/commit   transaction    -> applied | rejection
 ///     POST /table/read     keys           -> rows
 ///     POST /table/scan     scan_request   -> rows
-///     PUT  /objects/NAME   raw content    -> applied | refusal
+///     PUT  /objects/NAME   raw content    -> applied | rejection
 ///     GET  /objects/NAME                  -> raw content
 ///     GET  /vms                           -> listed VMs
 ///
@@ -46,13 +46,13 @@
 };
 
 /// The platform's statement that a call had no effect. Immutable value.
-struct refusal
+struct rejection
 {
     error_kind kind{error_kind::refused};
     std::string detail;
     std::vector<row> failed; ///< rows whose condition did not hold
 
-    friend bool operator==(refusal const&, refusal const&) = default;
+    friend bool operator==(rejection const&, rejection const&) = default;
 };
 
 result<std::string> encode(transaction const& txn);
@@ -72,10 +72,10 @@
 /// True only for the text that `encode_applied` returns.
 bool is_applied(std::string const& body);
 
-std::string encode(refusal const& why);
+std::string encode(rejection const& why);
 
 /// Fails unless the body itself states that nothing took effect.
-result<refusal> decode_refusal(std::string const& body);
+result<rejection> decode_rejection(std::string const& body);
 
 std::string encode_vms(std::vector<listed_vm> const& vms);
 result<std::vector<listed_vm>> decode_vms(std::string const& body);
--- a/src/budget/row_access.cpp
+++ b/src/budget/row_access.cpp
@@ -38,7 +38,7 @@
 
 bool rejected_without_conflict(store::commit_result const& outcome)
 {
-    return outcome.outcome == store::commit_outcome::refused &&
+    return outcome.outcome == store::commit_outcome::rejected &&
            outcome.failed.empty();
 }
 
--- a/src/budget/share_results.cpp
+++ b/src/budget/share_results.cpp
@@ -269,7 +269,7 @@
         apply_write(state, *planned, outcome, now);
         state.conflicts = 0;
         return state;
-    case commit_outcome::refused:
+    case commit_outcome::rejected:
         if (outcome.failed.empty())
         {
             store_failed(state, now);
--- a/src/controllers/backend_controller.cpp
+++ b/src/controllers/backend_controller.cpp
@@ -164,7 +164,7 @@
                        instant now)
 {
     auto const found = state.views.find(load.id);
-    if (found == state.views.end() || !load.answered)
+    if (found == state.views.end() || !load.responded)
     {
         return;
     }
@@ -173,7 +173,7 @@
     view.reported_queued = load.queued;
     view.slots = load.slots;
     view.reported_at = now - load.age;
-    view.draining = load.leaving || state.configured.at(load.id).draining;
+    view.draining = load.draining || state.configured.at(load.id).draining;
 }
 
 caf::behavior backend_behavior(backend_actor* self,
--- a/src/controllers/claim_actor.cpp
+++ b/src/controllers/claim_actor.cpp
@@ -123,7 +123,7 @@
             this->options.wall.now() + this->options.claims.retention;
         this->expiring.push_back({result.request, result.version, until});
     }
-    if (this->expiring.size() > this->options.most_kept)
+    if (this->expiring.size() > this->options.max_tracked)
     {
         this->expiring.pop_front();
     }
@@ -270,7 +270,7 @@
         return;
     }
     auto const left = this->report();
-    bool const all_written = left.pending == 0 && left.doubtful == 0;
+    bool const all_written = left.pending == 0 && left.uncertain == 0;
     if (!all_written && now < this->stop_until)
     {
         return;
@@ -312,8 +312,8 @@
     {
         (claim.finish ? report.pending : report.open) += 1;
     }
-    report.doubtful = this->uncertain.size();
-    report.kept = this->expiring.size();
+    report.uncertain = this->uncertain.size();
+    report.expiring = this->expiring.size();
     return report;
 }
 
--- a/src/controllers/claim_actor.hpp
+++ b/src/controllers/claim_actor.hpp
@@ -59,7 +59,7 @@
 };
 
 /// The state and message handlers of the actor. It retries the functions of
-/// `request/claim_run.hpp` with a backoff until they succeed. Runs on the
+/// `request/claim_store.hpp` with a backoff until they succeed. Runs on the
 /// actor's thread only.
 class claim_actor
 {
--- a/src/controllers/config_controller.cpp
+++ b/src/controllers/config_controller.cpp
@@ -23,7 +23,7 @@
     mutable std::mutex mutex;
     config::configuration_state view;
     config_status counts;
-    bool drain_ordered{false};
+    bool drain_commanded{false};
 
     config::configuration_state current_view() const
     {
@@ -44,7 +44,7 @@
     void apply_poll(config::poll_response const& answer)
     {
         std::lock_guard const lock{this->mutex};
-        this->drain_ordered = this->drain_ordered || answer.drain_commanded;
+        this->drain_commanded = this->drain_commanded || answer.drain_commanded;
         if (answer.current.version > 0)
         {
             this->view =
@@ -62,7 +62,7 @@
     void count_rejected_offer()
     {
         std::lock_guard const lock{this->mutex};
-        ++this->counts.refused_offers;
+        ++this->counts.rejected_offers;
     }
 };
 
@@ -227,10 +227,10 @@
     return this->shared_state->current_view().confirmed;
 }
 
-bool config_controller::drain_ordered() const
+bool config_controller::drain_commanded() const
 {
     std::lock_guard const lock{this->shared_state->mutex};
-    return this->shared_state->drain_ordered;
+    return this->shared_state->drain_commanded;
 }
 
 config_status config_controller::status() const
--- a/src/filters/account.cpp
+++ b/src/filters/account.cpp
@@ -51,7 +51,7 @@
                          " cost=" + std::to_string(request.cost);
     if (request.rejection)
     {
-        metrics.refused(request.rejection->code);
+        metrics.request_rejected(request.rejection->code);
         detail += " code=" + request.rejection->code;
     }
     auto const version = request.document ? request.document->version : 0;
--- a/src/fleet/readiness.cpp
+++ b/src/fleet/readiness.cpp
@@ -18,7 +18,7 @@
 {
     // A router that restarts while it cannot reach the store would reject
     // requests that other routers can serve.
-    if (!so_far.knows_a_budget)
+    if (!so_far.has_read_a_budget)
     {
         return false;
     }
--- a/src/gateway/budget_share_allocation.cpp
+++ b/src/gateway/budget_share_allocation.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-void budget_book::note_routers(std::int64_t vms)
+void budget_share_manager::set_router_count(std::int64_t vms)
 {
     this->routers = vms;
 }
@@ -57,7 +57,7 @@
 /// Returns the larger count of live routers by heartbeats and by holdings.
 /// Heartbeats of routers that start together are read only after some seconds,
 /// their holdings sooner.
-std::int64_t budget_book::fleet_size() const
+std::int64_t budget_share_manager::fleet_size() const
 {
     auto const at = this->now.now();
     auto const reporting = std::count_if(
@@ -67,7 +67,7 @@
     return std::max(this->routers, reporting + 1);
 }
 
-bool budget_book::knows_fleet(instant at) const
+bool budget_share_manager::knows_fleet(instant at) const
 {
     auto const since = at - this->started_at;
     auto const reporting = std::ssize(this->holdings_received_at);
@@ -76,7 +76,7 @@
             this->routers > std::max<std::int64_t>(1, reporting));
 }
 
-bool budget_book::is_small_fleet() const
+bool budget_share_manager::is_small_fleet() const
 {
     return this->fleet_size() <= budget::max_allocating_routers;
 }
@@ -84,7 +84,7 @@
 /// Returns the interval between reads of budget rows. All routers read what all
 /// of them write: with an interval proportional to their number, the total
 /// number of calls grows linearly and not quadratically.
-duration budget_book::budget_read_interval() const
+duration budget_share_manager::budget_read_interval() const
 {
     return this->is_small_fleet()
                ? std::max(least_budget_read_interval,
@@ -92,18 +92,18 @@
                : idle_read_interval;
 }
 
-void budget_book::follow_rows()
+void budget_share_manager::follow_rows()
 {
     table_listener holdings;
-    holdings.listed = [](store::feed_page const&) {
+    holdings.on_snapshot = [](store::feed_page const&) {
     };
-    holdings.changed = [this](store::feed_page const& page)
+    holdings.on_change = [this](store::feed_page const& page)
     {
         this->receive_holdings(page);
     };
-    holdings.reached = [](bool, error const&) {
+    holdings.on_reachability = [](bool, error const&) {
     };
-    holdings.pause = [this]
+    holdings.poll_delay = [this]
     {
         return this->is_small_fleet()
                    ? budget::holdings_read_pause(this->fleet_size())
@@ -111,36 +111,36 @@
     };
     auto const salt = fleet::stable_hash(this->vm.value);
     this->holding_rows = std::make_unique<table_follower>(
-        this->executor, this->port, store::own_table("holding"),
+        this->executor, this->port, store::table_for_kind("holding"),
         std::move(holdings), salt);
     this->holding_rows->start();
 
     table_listener budgets;
-    budgets.listed = [this](store::feed_page const&)
+    budgets.on_snapshot = [this](store::feed_page const&)
     {
         // Changes may have been missed: each row is read before it counts as
         // current again.
         this->rows_current_since = this->now.now();
     };
-    budgets.changed = [this](store::feed_page const& page)
+    budgets.on_change = [this](store::feed_page const& page)
     {
         this->receive_budget_rows(page);
     };
-    budgets.reached = [](bool, error const&) {
+    budgets.on_reachability = [](bool, error const&) {
     };
-    budgets.pause = [this]
+    budgets.poll_delay = [this]
     {
         return this->budget_read_interval();
     };
     this->budget_rows = std::make_unique<table_follower>(
-        this->executor, this->port, store::own_table("budget"),
+        this->executor, this->port, store::table_for_kind("budget"),
         std::move(budgets), salt);
     this->budget_rows->start();
 }
 
 /// Erases the holdings of VMs that no longer report. VMs are replaced as long
 /// as this process runs, so the maps would otherwise grow without bound.
-void budget_book::expire_holdings(instant at)
+void budget_share_manager::expire_holdings(instant at)
 {
     auto const is_old = [at](instant received)
     {
@@ -155,7 +155,7 @@
     }
 }
 
-void budget_book::receive_holdings(store::feed_page const& page)
+void budget_share_manager::receive_holdings(store::feed_page const& page)
 {
     auto const at = this->now.now();
     this->expire_holdings(at);
@@ -170,7 +170,7 @@
             value_or_error([&] { return budget::decode_holdings(row.value); });
         if (auto const* fault = std::get_if<error>(&read))
         {
-            this->log.fault(*fault);
+            this->log.write_error(*fault);
             continue;
         }
         this->holdings_received_at[*from] = at;
@@ -186,7 +186,7 @@
     }
 }
 
-void budget_book::receive_budget_rows(store::feed_page const& page)
+void budget_share_manager::receive_budget_rows(store::feed_page const& page)
 {
     auto const at = this->now.now();
     for (auto const& row : page.rows)
@@ -215,14 +215,14 @@
     }
 }
 
-double budget_book::account::token_weighted_request() const
+double budget_share_manager::account::token_weighted_request() const
 {
     return this->mean_request > 0
                ? this->mean_squared_request / this->mean_request
                : 0;
 }
 
-budget::holding budget_book::own_holding(account const& of) const
+budget::holding budget_share_manager::own_holding(account const& of) const
 {
     auto const& share = of.share;
     budget::holding one;
@@ -249,7 +249,7 @@
     return one;
 }
 
-std::optional<store::row_write> budget_book::holdings_to_report()
+std::optional<store::row_write> budget_share_manager::holdings_to_report()
 {
     auto const at = this->now.now();
     auto const recently_written =
@@ -268,7 +268,7 @@
     return store::row_write{budget::holding_key(this->vm), budget::encode(all)};
 }
 
-void budget_book::allocate(account& of)
+void budget_share_manager::allocate(account& of)
 {
     auto& share = of.share;
     auto const at = this->now.now();
--- a/src/gateway/budget_share_exchange.cpp
+++ b/src/gateway/budget_share_exchange.cpp
@@ -20,17 +20,19 @@
 
 /// Returns true if routers exchange tokens by datagrams. In a small fleet each
 /// budget is allocated by the holdings that the routers report.
-bool budget_book::is_large_fleet() const
+bool budget_share_manager::is_large_fleet() const
 {
     return !this->is_small_fleet();
 }
 
-void budget_book::note_peers(std::map<std::string, incarnation_id> const& live)
+void budget_share_manager::set_peers(
+    std::map<std::string, incarnation_id> const& live)
 {
     this->exchange.set_peers(live, this->now.now());
 }
 
-void budget_book::receive(std::string const& from, std::string const& bytes)
+void budget_share_manager::receive_datagram(std::string const& from,
+                                            std::string const& bytes)
 {
     if (this->spend_writer.ready())
     {
@@ -38,13 +40,13 @@
     }
 }
 
-bool budget_book::may_be_given(budget_id const& budget)
+bool budget_share_manager::may_receive_tokens(budget_id const& budget)
 {
     return this->is_large_fleet() &&
            this->exchange.may_get_response(budget, this->now.now());
 }
 
-share_access budget_book::make_share_access()
+share_access budget_share_manager::make_share_access()
 {
     share_access access;
     access.view = [this](budget_id const& budget)
@@ -84,7 +86,7 @@
     return access;
 }
 
-share_view budget_book::view(budget_id const& budget) const
+share_view budget_share_manager::view(budget_id const& budget) const
 {
     share_view found;
     auto const of = this->accounts.find(budget);
@@ -118,13 +120,13 @@
 /// In a large fleet a router sees few requests of a given customer, and request
 /// sizes differ more within a customer than between customers. So it uses the
 /// mean over all customers.
-double budget_book::typical_request(account const& of) const
+double budget_share_manager::typical_request(account const& of) const
 {
     return this->mean_request_of_all > 0 ? this->mean_request_of_all
                                          : of.mean_request;
 }
 
-std::vector<budget_id> budget_book::budgets(bool in_use) const
+std::vector<budget_id> budget_share_manager::budgets(bool in_use) const
 {
     std::vector<budget_id> all;
     for (auto const& [id, of] : this->accounts)
@@ -140,8 +142,9 @@
 
 /// Reserves tokens for another router. Like a caller's reservation, it waits
 /// for a draw and for the spend limit.
-void budget_book::take_for_peer(budget_id const& budget, token_count tokens,
-                                duration wait, std::function<void(bool)> done)
+void budget_share_manager::take_for_peer(budget_id const& budget,
+                                         token_count tokens, duration wait,
+                                         std::function<void(bool)> done)
 {
     auto const found = this->accounts.find(budget);
     if (found == this->accounts.end() || found->second.pending_takeover)
@@ -180,14 +183,16 @@
     this->step(budget);
 }
 
-void budget_book::add_from_peer(budget_id const& budget, token_count tokens)
+void budget_share_manager::add_from_peer(budget_id const& budget,
+                                         token_count tokens)
 {
     auto& of = this->open_account(budget);
     of.share = budget::add_received(std::move(of.share), tokens);
     this->settle_waiting(of);
 }
 
-void budget_book::reject_waiting(budget_id const& budget, duration retry_after)
+void budget_share_manager::reject_waiting(budget_id const& budget,
+                                          duration retry_after)
 {
     auto& of = this->accounts.at(budget);
     auto step = budget::reject_uncovered(std::move(of.share), retry_after,
@@ -196,7 +201,7 @@
     this->send_replies(step.decisions);
 }
 
-void budget_book::update_draw_mode(account& of, instant at)
+void budget_share_manager::update_draw_mode(account& of, instant at)
 {
     auto& share = of.share;
     share.has_peers = this->is_large_fleet();
--- a/src/gateway/budget_share_manager.cpp
+++ b/src/gateway/budget_share_manager.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-void budget_book::account::raise_paid()
+void budget_share_manager::account::raise_paid()
 {
     if (this->share.seen)
     {
@@ -48,7 +48,7 @@
     }
 }
 
-budget_book::budget_book(
+budget_share_manager::budget_share_manager(
     boost::asio::any_io_executor const& executor, store::async_port port,
     std::string vm, std::string address, incarnation_id incarnation,
     std::string peer_address,
@@ -76,7 +76,7 @@
 {
 }
 
-void budget_book::start()
+void budget_share_manager::start()
 {
     this->started_at = this->now.now();
     this->spend_writer.start();
@@ -84,7 +84,8 @@
     this->tick();
 }
 
-budget_book::account& budget_book::open_account(budget_id const& budget)
+budget_share_manager::account&
+budget_share_manager::open_account(budget_id const& budget)
 {
     auto const [found, added] = this->accounts.try_emplace(budget);
     auto& of = found->second;
@@ -102,7 +103,7 @@
     return of;
 }
 
-void budget_book::apply(fleet::site const& site)
+void budget_share_manager::apply(fleet::site const& site)
 {
     for (auto const& customer : site.customers())
     {
@@ -133,7 +134,7 @@
     }
 }
 
-void budget_book::settle_all_waiting()
+void budget_share_manager::settle_all_waiting()
 {
     for (auto& [id, of] : this->accounts)
     {
@@ -141,9 +142,9 @@
     }
 }
 
-void budget_book::reserve(request_id const& request, budget_id const& budget,
-                          token_count amount, duration wait,
-                          std::function<void(budget::reserve_reply)> done)
+void budget_share_manager::reserve(
+    request_id const& request, budget_id const& budget, token_count amount,
+    duration wait, std::function<void(budget::reserve_reply)> done)
 {
     auto const found = this->accounts.find(budget);
     if (found == this->accounts.end())
@@ -182,8 +183,8 @@
     this->step(budget);
 }
 
-void budget_book::finish(request_id const& request, budget_id const& budget,
-                         token_count used)
+void budget_share_manager::finish(request_id const& request,
+                                  budget_id const& budget, token_count used)
 {
     auto const found = this->accounts.find(budget);
     if (found == this->accounts.end())
@@ -208,7 +209,8 @@
     this->step(budget);
 }
 
-void budget_book::cancel(request_id const& request, budget_id const& budget)
+void budget_share_manager::cancel(request_id const& request,
+                                  budget_id const& budget)
 {
     this->waiting.erase(request);
     auto const found = this->accounts.find(budget);
@@ -221,7 +223,8 @@
     this->settle_waiting(of);
 }
 
-std::vector<log_field> budget_book::describe(budget_id const& budget) const
+std::vector<log_field>
+budget_share_manager::log_fields(budget_id const& budget) const
 {
     auto const found = this->accounts.find(budget);
     if (found == this->accounts.end())
@@ -242,7 +245,7 @@
             {"store_failures", std::to_string(share.failures)}};
 }
 
-void budget_book::close()
+void budget_share_manager::close()
 {
     this->closing = true;
     this->closing_since = this->now.now();
@@ -256,7 +259,7 @@
     }
 }
 
-bool budget_book::closed() const
+bool budget_share_manager::closed() const
 {
     if (this->is_large_fleet() &&
         !this->spend_writer.has_written_since(this->closing_since))
@@ -272,7 +275,7 @@
                        });
 }
 
-bool budget_book::knows_a_budget() const
+bool budget_share_manager::has_read_a_budget() const
 {
     return this->accounts.empty() ||
            std::any_of(this->accounts.begin(), this->accounts.end(),
@@ -284,11 +287,11 @@
                        });
 }
 
-bool budget_book::ready() const
+bool budget_share_manager::ready() const
 {
     if (this->is_large_fleet())
     {
-        return this->knows_a_budget();
+        return this->has_read_a_budget();
     }
     return std::all_of(this->accounts.begin(), this->accounts.end(),
                        [](auto const& entry)
@@ -299,7 +302,7 @@
                        });
 }
 
-void budget_book::step(budget_id const& budget)
+void budget_share_manager::step(budget_id const& budget)
 {
     if (!this->spend_writer.ready())
     {
@@ -335,7 +338,7 @@
     }
 }
 
-void budget_book::settle_waiting(account& of)
+void budget_share_manager::settle_waiting(account& of)
 {
     this->update_spend_limit(of);
     auto answered =
@@ -345,7 +348,7 @@
     this->request_limit_raise(of);
 }
 
-void budget_book::send_replies(
+void budget_share_manager::send_replies(
     std::vector<budget::decided_reservation> const& decided)
 {
     for (auto const& one : decided)
@@ -361,7 +364,7 @@
     }
 }
 
-void budget_book::tick()
+void budget_share_manager::tick()
 {
     for (auto& [id, of] : this->accounts)
     {
@@ -376,7 +379,7 @@
     {
         this->exchange.tick(this->now.now());
     }
-    call_after(this->timer, tick_interval, [this] { this->tick(); });
+    run_after(this->timer, tick_interval, [this] { this->tick(); });
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/budget_share_manager.hpp
+++ b/src/gateway/budget_share_manager.hpp
@@ -29,12 +29,12 @@
 /// router at the same address takes over the shares, less what the dead
 /// router's spend row shows as possibly spent. Loop thread only; outlives its
 /// calls, and `log` outlives it.
-class budget_book
+class budget_share_manager
 {
 public:
     /// `peer_address` receives the datagrams of other routers, and `send` sends
     /// a datagram to another router.
-    budget_book(
+    budget_share_manager(
         boost::asio::any_io_executor const& executor, store::async_port port,
         std::string vm, std::string address, incarnation_id incarnation,
         std::string peer_address,
@@ -65,19 +65,19 @@
 
     /// Returns log fields with the state that reservations of the budget depend
     /// on.
-    std::vector<log_field> describe(budget_id const& budget) const;
+    std::vector<log_field> log_fields(budget_id const& budget) const;
 
     /// Sets the number of VMs that have a live router.
-    void note_routers(std::int64_t vms);
+    void set_router_count(std::int64_t vms);
 
     /// Sets the live routers, by datagram address.
-    void note_peers(std::map<std::string, incarnation_id> const& live);
+    void set_peers(std::map<std::string, incarnation_id> const& live);
 
     /// Handles a datagram of another router.
-    void receive(std::string const& from, std::string const& bytes);
+    void receive_datagram(std::string const& from, std::string const& bytes);
 
     /// Returns true if another router may soon give tokens of the budget.
-    bool may_be_given(budget_id const& budget);
+    bool may_receive_tokens(budget_id const& budget);
 
     /// Returns free tokens to the budget rows, now and as requests end. Admits
     /// no further reservation.
@@ -89,12 +89,12 @@
     /// Returns true if the share covers `amount` after all waiting
     /// reservations, and the spend limit will allow it within `wait` without a
     /// response of the store.
-    bool opens_within(budget_id const& budget, token_count amount,
-                      duration wait) const;
+    bool covers_within(budget_id const& budget, token_count amount,
+                       duration wait) const;
 
     /// Returns false until a budget row was read: before that this router can
     /// only reject requests. Returns true if no customer has a budget.
-    bool knows_a_budget() const;
+    bool has_read_a_budget() const;
 
     /// Returns true if the first share of each budget was drawn, or the draw
     /// was tried several times.
@@ -194,7 +194,7 @@
     vm_id vm;
     incarnation_id incarnation;
     decision_log& log;
-    spend_keeper spend_writer;
+    spend_row_writer spend_writer;
     caperpath::clock now{caperpath::clock::monotonic()};
     token_exchange exchange;
     std::uint64_t
--- a/src/gateway/budget_share_store.cpp
+++ b/src/gateway/budget_share_store.cpp
@@ -11,7 +11,7 @@
 
 /// Reads the budget row. The share row has no other writer, so it is read as
 /// well only if the response to a write of it was lost.
-void budget_book::read_rows(account& of)
+void budget_share_manager::read_rows(account& of)
 {
     auto const id = of.share.budget;
     auto const share_name = budget::share_key(id, of.holder.incarnation);
@@ -22,7 +22,7 @@
         auto& account = this->accounts.at(id);
         if (auto const* fault = std::get_if<error>(&budget_reply))
         {
-            this->log.fault(*fault);
+            this->log.write_error(*fault);
             account.share = budget::after_failed_read(std::move(account.share),
                                                       this->now.now());
             this->settle_waiting(account);
@@ -63,7 +63,7 @@
                     });
 }
 
-void budget_book::write(account& of, store::transaction const& txn)
+void budget_share_manager::write(account& of, store::transaction const& txn)
 {
     // No other process reclaims shares here, so there is no holder row to
     // check.
@@ -86,8 +86,8 @@
                       });
 }
 
-void budget_book::log_write(account const& of,
-                            store::commit_result const& result)
+void budget_share_manager::log_write(account const& of,
+                                     store::commit_result const& result)
 {
     auto const& share = of.share;
     auto const to = share.planned && share.planned->share
--- a/src/gateway/budget_share_takeover.cpp
+++ b/src/gateway/budget_share_takeover.cpp
@@ -21,7 +21,7 @@
 namespace caperpath::gateway
 {
 
-void budget_book::inherit(
+void budget_share_manager::inherit(
     incarnation_id const& dead,
     std::map<budget_id, budget::spend_limit_curve> const& limits)
 {
@@ -40,14 +40,14 @@
 }
 
 /// Without a share row the dead router held only what other routers gave.
-void budget_book::finish_without_share(account& of)
+void budget_share_manager::finish_without_share(account& of)
 {
     this->adopt_tokens(of, 0, 0);
     this->settle_waiting(of);
 }
 
-void budget_book::adopt_tokens(account& of, token_count granted,
-                               std::uint64_t version)
+void budget_share_manager::adopt_tokens(account& of, token_count granted,
+                                        std::uint64_t version)
 {
     auto const all = granted + of.pending_takeover->received;
     auto const spent = std::min(of.pending_takeover->spent, all);
@@ -59,7 +59,7 @@
     of.pending_takeover.reset();
 }
 
-void budget_book::try_takeover(account& of)
+void budget_share_manager::try_takeover(account& of)
 {
     auto& takeover = *of.pending_takeover;
     if (takeover.busy || this->now.now() < takeover.next_try)
@@ -74,7 +74,7 @@
                     {
                         if (auto const* fault = std::get_if<error>(&reply))
                         {
-                            this->log.fault(*fault);
+                            this->log.write_error(*fault);
                             this->takeover_failed(id);
                             return;
                         }
@@ -82,7 +82,8 @@
                     });
 }
 
-void budget_book::rename_share(budget_id const& budget, store::row const& found)
+void budget_share_manager::rename_share(budget_id const& budget,
+                                        store::row const& found)
 {
     auto& of = this->accounts.at(budget);
     auto const own = budget::share_key(budget, of.holder.incarnation);
@@ -95,7 +96,7 @@
                         {
                             if (auto const* fault = std::get_if<error>(&reply))
                             {
-                                this->log.fault(*fault);
+                                this->log.write_error(*fault);
                                 this->takeover_failed(budget);
                                 return;
                             }
@@ -120,7 +121,7 @@
                       });
 }
 
-void budget_book::takeover_failed(budget_id const& budget)
+void budget_share_manager::takeover_failed(budget_id const& budget)
 {
     auto& of = this->accounts.at(budget);
     auto& takeover = *of.pending_takeover;
@@ -130,8 +131,9 @@
     takeover.next_try = this->now.now() + budget::backoff(takeover.tries, salt);
 }
 
-void budget_book::finish_takeover(budget_id const& budget,
-                                  store::row const& row, std::uint64_t version)
+void budget_share_manager::finish_takeover(budget_id const& budget,
+                                           store::row const& row,
+                                           std::uint64_t version)
 {
     auto& of = this->accounts.at(budget);
     auto const text =
@@ -147,7 +149,7 @@
     this->step(budget);
 }
 
-void budget_book::log_takeover(account const& of, token_count granted)
+void budget_share_manager::log_takeover(account const& of, token_count granted)
 {
     this->log.write(
         log_weight::notable, "inherit",
--- a/src/gateway/budget_spend_limits.cpp
+++ b/src/gateway/budget_spend_limits.cpp
@@ -38,7 +38,7 @@
 /// Returns a spend limit for each budget that covers all waiting reservations
 /// and the expected traffic while the store is away.
 std::map<budget_id, budget::spend_limit_curve>
-budget_book::required_spend_limits() const
+budget_share_manager::required_spend_limits() const
 {
     std::map<budget_id, budget::spend_limit_curve> all;
     for (auto const& [id, of] : this->accounts)
@@ -81,7 +81,8 @@
 }
 
 /// Returns the tokens between the current use and the start of the limit.
-double budget_book::initial_headroom(account const& of, double traffic) const
+double budget_share_manager::initial_headroom(account const& of,
+                                              double traffic) const
 {
     if (this->closing)
     {
@@ -109,7 +110,7 @@
 /// fleet a router that is cut off gets a request of most customers only once in
 /// many seconds. If all routers crash during an outage of the store, the growth
 /// of all their limits is lost.
-double budget_book::extra_growth(account const& of) const
+double budget_share_manager::extra_growth(account const& of) const
 {
     if (!this->is_large_fleet())
     {
@@ -120,18 +121,18 @@
                     this->typical_request(of) * extra_growth_requests);
 }
 
-duration budget_book::spend_row_interval() const
+duration budget_share_manager::spend_row_interval() const
 {
     return this->is_large_fleet() ? large_fleet_row_interval
                                   : small_fleet_row_interval;
 }
 
-budget::held_tokens budget_book::held(account const& of) const
+budget::held_tokens budget_share_manager::held(account const& of) const
 {
     return {of.share.share.granted, of.share.received};
 }
 
-void budget_book::update_spend_limit(account& of) const
+void budget_share_manager::update_spend_limit(account& of) const
 {
     of.share.spend_limit = this->spend_writer.limit(
         of.share.budget, this->held(of), this->now.now());
@@ -139,7 +140,7 @@
 
 /// Writes a spend row at once if the share covers a waiting reservation and
 /// only the spend limit holds it back.
-void budget_book::request_limit_raise(account const& of)
+void budget_share_manager::request_limit_raise(account const& of)
 {
     auto const& share = of.share;
     auto const covered = [&share](budget::waiting_reservation const& one)
@@ -152,8 +153,9 @@
     }
 }
 
-bool budget_book::opens_within(budget_id const& budget, token_count amount,
-                               duration wait) const
+bool budget_share_manager::covers_within(budget_id const& budget,
+                                         token_count amount,
+                                         duration wait) const
 {
     auto const found = this->accounts.find(budget);
     if (found == this->accounts.end())
--- a/src/gateway/core.cpp
+++ b/src/gateway/core.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 core::core(asio::any_io_executor const& loop, gateway::settings const& settings,
-           dialect adapter, store::async_port const& store,
+           protocol_adapter adapter, store::async_port const& store,
            incarnation_id incarnation, int log_descriptor)
     : loop{loop}, settings{settings}, adapter{std::move(adapter)},
       log{loop, log_descriptor, settings.vm}, prompts{max_remembered_parts},
--- a/src/gateway/core.hpp
+++ b/src/gateway/core.hpp
@@ -38,12 +38,12 @@
 struct core
 {
     core(asio::any_io_executor const& loop, settings const& settings,
-         dialect adapter, store::async_port const& store,
+         protocol_adapter adapter, store::async_port const& store,
          incarnation_id incarnation, int log_descriptor);
 
     asio::any_io_executor loop;
     gateway::settings const settings;
-    dialect const adapter;
+    protocol_adapter const adapter;
     caperpath::clock const now{caperpath::clock::monotonic()};
     /// For the retry limit, whose windows are compared with those of other
     /// routers.
@@ -57,12 +57,12 @@
     fleet::prefix_history prompts;
     fleet::engine_speed speed;
     fleet::retry_window retries;
-    peer_link peers;
+    peer_socket peers;
     membership_tracker membership;
-    budget_book budgets;
+    budget_share_manager budgets;
     fleet::uplink uplink;
     server_pool pool;
-    crash_keeper crashes;
+    crash_tracker crashes;
     crash_check crash_checks;
     std::set<fleet::fingerprint> on_probation; ///< in progress here
     /// Open sends of requests that were at a crash, by server.
--- a/src/gateway/crash_handling.cpp
+++ b/src/gateway/crash_handling.cpp
@@ -41,8 +41,8 @@
 fleet::crash_evidence known_evidence(exchange& current)
 {
     auto const& crashes = current.shared.crashes;
-    return crashes.knows_any() ? crashes.evidence(fingerprint_of(current))
-                               : fleet::crash_evidence{};
+    return crashes.has_evidence() ? crashes.evidence(fingerprint_of(current))
+                                  : fleet::crash_evidence{};
 }
 
 } // namespace
@@ -130,7 +130,7 @@
 
 void record_complete_response(exchange& current)
 {
-    if (is_success(current.status) && current.shared.crashes.knows_any())
+    if (is_success(current.status) && current.shared.crashes.has_evidence())
     {
         current.shared.crashes.record_response(fingerprint_of(current));
     }
--- a/src/gateway/crash_tracker.cpp
+++ b/src/gateway/crash_tracker.cpp
@@ -48,19 +48,19 @@
 
 } // namespace
 
-crash_keeper::crash_keeper(boost::asio::any_io_executor const& executor,
-                           store::async_port port, std::size_t salt,
-                           decision_log& log)
+crash_tracker::crash_tracker(boost::asio::any_io_executor const& executor,
+                             store::async_port port, std::size_t salt,
+                             decision_log& log)
     : read_timer{executor}, write_timer{executor},
       sweep_timer{executor}, port{std::move(port)}, log{log}, salt{salt},
       follower{executor,
                this->port,
-               store::own_table(crash_table),
+               store::table_for_kind(crash_table),
                {[this](store::feed_page const&) { this->read_rows(); },
                 [this](store::feed_page const& page)
                 { this->merge(page.rows); },
                 [](bool, error const&) {},
-                [this](error const& why) { this->log.fault(why); },
+                [this](error const& why) { this->log.write_error(why); },
                 {},
                 poll_hold,
                 max_poll_hold},
@@ -68,42 +68,42 @@
 {
 }
 
-void crash_keeper::start()
+void crash_tracker::start()
 {
     this->follower.start();
     this->sweep();
 }
 
-void crash_keeper::store_call_missed()
+void crash_tracker::note_lost_store_call()
 {
     this->follower.restart_poll();
 }
 
-bool crash_keeper::has_read_rows() const
+bool crash_tracker::has_read_rows() const
 {
     return this->rows_read;
 }
 
-bool crash_keeper::knows_any() const
+bool crash_tracker::has_evidence() const
 {
     return !this->record.entries.empty();
 }
 
 fleet::crash_evidence
-crash_keeper::evidence(fleet::fingerprint const& request) const
+crash_tracker::evidence(fleet::fingerprint const& request) const
 {
     return fleet::evidence_of(this->record, request);
 }
 
-duration crash_keeper::quarantine_left(fleet::fingerprint const& request) const
+duration crash_tracker::quarantine_left(fleet::fingerprint const& request) const
 {
     return fleet::quarantine_left(this->record, request, this->now.now());
 }
 
 fleet::crash_evidence
-crash_keeper::record_crash(fleet::fingerprint const& request,
-                           fleet::crash_evidence const& known,
-                           std::string const& server)
+crash_tracker::record_crash(fleet::fingerprint const& request,
+                            fleet::crash_evidence const& known,
+                            std::string const& server)
 {
     auto const found =
         fleet::note_crash(this->record, request, known, this->now.now());
@@ -116,7 +116,7 @@
     return found;
 }
 
-void crash_keeper::record_response(fleet::fingerprint const& request)
+void crash_tracker::record_response(fleet::fingerprint const& request)
 {
     if (!fleet::note_response(this->record, request, this->now.now()))
     {
@@ -129,7 +129,7 @@
     }
 }
 
-void crash_keeper::record_unanswered(fleet::fingerprint const& request)
+void crash_tracker::record_unanswered(fleet::fingerprint const& request)
 {
     if (this->evidence(request).crashes > 0 && !this->rows.contains(request))
     {
@@ -137,9 +137,9 @@
     }
 }
 
-void crash_keeper::log_evidence(std::string const& step,
-                                fleet::fingerprint const& request,
-                                std::string const& source)
+void crash_tracker::log_evidence(std::string const& step,
+                                 fleet::fingerprint const& request,
+                                 std::string const& source)
 {
     auto const known = this->evidence(request);
     this->log.write(log_weight::notable, step,
@@ -150,7 +150,7 @@
                      {"by", source}});
 }
 
-void crash_keeper::read_rows()
+void crash_tracker::read_rows()
 {
     this->port.scan(
         crash_range_begin, crash_range_end,
@@ -158,9 +158,9 @@
         {
             if (auto const* fault = std::get_if<error>(&reply))
             {
-                this->log.fault(*fault);
-                call_after(this->read_timer, read_retry_delay,
-                           [this] { this->read_rows(); });
+                this->log.write_error(*fault);
+                run_after(this->read_timer, read_retry_delay,
+                          [this] { this->read_rows(); });
                 return;
             }
             for (auto const& row : std::get<std::vector<store::row>>(reply))
@@ -171,7 +171,7 @@
         });
 }
 
-void crash_keeper::merge(std::vector<store::feed_row> const& rows)
+void crash_tracker::merge(std::vector<store::feed_row> const& rows)
 {
     for (auto const& row : rows)
     {
@@ -187,7 +187,7 @@
     }
 }
 
-void crash_keeper::merge(store::row const& row)
+void crash_tracker::merge(store::row const& row)
 {
     auto const request = crash_request(row.key);
     auto const received = decode_evidence(row.value);
@@ -204,7 +204,7 @@
     }
 }
 
-void crash_keeper::schedule_write(fleet::fingerprint const& request)
+void crash_tracker::schedule_write(fleet::fingerprint const& request)
 {
     this->unwritten.insert(request);
     if (!this->writing)
@@ -213,13 +213,13 @@
     }
 }
 
-void crash_keeper::write_after(duration pause)
+void crash_tracker::write_after(duration pause)
 {
     this->writing = true;
-    call_after(this->write_timer, pause, [this] { this->write(); });
+    run_after(this->write_timer, pause, [this] { this->write(); });
 }
 
-void crash_keeper::write()
+void crash_tracker::write()
 {
     // The record is bounded and may have evicted some of them.
     std::erase_if(this->unwritten, [this](fleet::fingerprint const& request)
@@ -252,8 +252,8 @@
 /// Merges rows that another router wrote in the meantime, and writes them again
 /// if this router still knows more. This also repairs a write whose response
 /// was lost.
-void crash_keeper::handle_write_result(evidence_map const& sent,
-                                       store::commit_result const& result)
+void crash_tracker::handle_write_result(evidence_map const& sent,
+                                        store::commit_result const& result)
 {
     if (result.outcome == store::commit_outcome::applied)
     {
@@ -283,12 +283,12 @@
     }
     if (result.failed.empty() && this->failures == 1)
     {
-        this->log.fault(result.fault);
+        this->log.write_error(result.fault);
     }
     this->write_after(retry_backoff(this->failures, this->salt));
 }
 
-void crash_keeper::sweep()
+void crash_tracker::sweep()
 {
     auto const jitter =
         duration{static_cast<std::int64_t>(this->salt % sweep_jitter_ms)};
@@ -298,11 +298,11 @@
         this->unwritten.erase(request);
     }
     this->remove_old_rows();
-    call_after(this->sweep_timer, sweep_interval, [this] { this->sweep(); });
+    run_after(this->sweep_timer, sweep_interval, [this] { this->sweep(); });
 }
 
 /// Removes the rows of requests that the record no longer holds.
-void crash_keeper::remove_old_rows()
+void crash_tracker::remove_old_rows()
 {
     store::transaction txn;
     for (auto const& [request, version] : this->rows)
--- a/src/gateway/crash_tracker.hpp
+++ b/src/gateway/crash_tracker.hpp
@@ -24,26 +24,26 @@
 /// each that may be retried at another router. Rows stay queued while the store
 /// is unreachable. Loop thread only; must outlive its calls, and `log` must
 /// outlive it.
-class crash_keeper
+class crash_tracker
 {
 public:
     /// `salt` differs between routers.
-    crash_keeper(boost::asio::any_io_executor const& executor,
-                 store::async_port port, std::size_t salt, decision_log& log);
+    crash_tracker(boost::asio::any_io_executor const& executor,
+                  store::async_port port, std::size_t salt, decision_log& log);
 
     /// Starts to read the evidence of other routers; call once.
     void start();
 
     /// Call if another call to the store was lost: the pending call for changes
     /// may be lost too, so it is replaced.
-    void store_call_missed();
+    void note_lost_store_call();
 
     /// True once the rows that existed at the start were read.
     bool has_read_rows() const;
 
     /// True if there is evidence for any request. Otherwise callers need not
     /// compute fingerprints.
-    bool knows_any() const;
+    bool has_evidence() const;
 
     fleet::crash_evidence evidence(fleet::fingerprint const& request) const;
 
--- a/src/gateway/decision_log.cpp
+++ b/src/gateway/decision_log.cpp
@@ -73,7 +73,7 @@
     this->pending += line;
 }
 
-void decision_log::fault(error const& what)
+void decision_log::write_error(error const& what)
 {
     this->write(log_weight::notable, what.step,
                 {{"peer", what.peer},
@@ -129,7 +129,7 @@
                     {{"dropped_lines", std::to_string(count)}});
     }
     this->flush();
-    call_after(this->timer, flush_interval, [this] { this->tick(); });
+    run_after(this->timer, flush_interval, [this] { this->tick(); });
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/decision_log.hpp
+++ b/src/gateway/decision_log.hpp
@@ -45,7 +45,7 @@
                std::vector<log_field> const& fields);
 
     /// Writes an error with its step, peer and kind.
-    void fault(error const& what);
+    void write_error(error const& what);
 
     /// Writes as much as the descriptor accepts now.
     void flush();
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -46,13 +46,14 @@
 duration reserve_timeout(exchange const& current, token_count amount)
 {
     auto& shared = current.shared;
-    if (shared.budgets.opens_within(current.budget, amount,
-                                    max_wait_for_spend_limit))
+    if (shared.budgets.covers_within(current.budget, amount,
+                                     max_wait_for_spend_limit))
     {
         return max_wait_for_spend_limit;
     }
-    auto const tokens_may_arrive = shared.servers.store_reachable ||
-                                   shared.budgets.may_be_given(current.budget);
+    auto const tokens_may_arrive =
+        shared.servers.store_reachable ||
+        shared.budgets.may_receive_tokens(current.budget);
     return tokens_may_arrive ? max_reserve_wait : max_wait_without_store;
 }
 
@@ -147,7 +148,7 @@
     }
     if (current.reason.starts_with("budget"))
     {
-        for (auto& field : shared.budgets.describe(current.budget))
+        for (auto& field : shared.budgets.log_fields(current.budget))
         {
             fields.push_back(std::move(field));
         }
@@ -168,8 +169,8 @@
     }
     http::response<http::empty_body> head{static_cast<http::status>(why.status),
                                           11};
-    current.shared.adapter.prepare_refusal(head, current.facts.id,
-                                           why.retry_after);
+    current.shared.adapter.prepare_rejection(head, current.facts.id,
+                                             why.retry_after);
     head.set(http::field::content_length, "0");
     current.keep_connection = current.keep_connection && !current.shared.stop;
     if (!current.keep_connection)
@@ -246,7 +247,7 @@
         current.work.output_tokens = current.facts.output_tokens;
     }
     auto const timeout = std::min(
-        current.facts.patience.value_or(max_request_timeout), route.timeout);
+        current.facts.timeout.value_or(max_request_timeout), route.timeout);
     current.deadline = current.arrived + timeout;
     current.attempts.kind = route.kind;
     current.attempts.resumable = route.resumable;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -40,7 +40,8 @@
 } // namespace
 
 gateway_server::gateway_server(asio::io_context& loop, settings const& settings,
-                               dialect adapter, store::async_port const& store,
+                               protocol_adapter adapter,
+                               store::async_port const& store,
                                incarnation_id incarnation, int log_descriptor)
     : loop{loop}, shared{loop.get_executor(),    settings,
                          std::move(adapter),     store,
@@ -83,7 +84,7 @@
         {{"callers", settings.callers}, {"store", settings.store_address}});
     this->shared.peers.start(
         [this](std::string const& from, std::string const& bytes)
-        { this->shared.budgets.receive(from, bytes); });
+        { this->shared.budgets.receive_datagram(from, bytes); });
     this->accept_callers();
     this->accept_page_clients(this->readiness);
     this->accept_page_clients(this->metrics);
@@ -137,11 +138,12 @@
         accept();
         return;
     }
-    this->shared.log.fault({error_kind::unavailable, "accept",
-                            this->shared.settings.callers, fault.message()});
+    this->shared.log.write_error({error_kind::unavailable, "accept",
+                                  this->shared.settings.callers,
+                                  fault.message()});
     auto const pause = std::make_shared<asio::steady_timer>(this->loop);
-    call_after(*pause, tick_interval,
-               [pause, accept = std::move(accept)] { accept(); });
+    run_after(*pause, tick_interval,
+              [pause, accept = std::move(accept)] { accept(); });
 }
 
 void gateway_server::accept_page_clients(tcp::acceptor& acceptor)
@@ -210,7 +212,7 @@
     auto const now = shared.now.now();
     return !fleet::sheds_callers(shared.uplink, now) &&
            fleet::may_take_callers(
-               {shared.budgets.knows_a_budget(), shared.budgets.ready(),
+               {shared.budgets.has_read_a_budget(), shared.budgets.ready(),
                 shared.crashes.has_read_rows(), shared.servers.store_reachable,
                 now - this->site_known_at});
 }
@@ -239,7 +241,7 @@
                            {{"outcome", "settings count from the next start"}});
 }
 
-void gateway_server::answer_overdue()
+void gateway_server::reject_open_requests()
 {
     if (this->shared.open_requests.empty())
     {
@@ -349,11 +351,11 @@
     }
     this->report_retries();
     this->shared.uplink = fleet::advance_time(this->shared.uplink, now);
-    this->shared.budgets.note_routers(this->shared.membership.alive_vms());
+    this->shared.budgets.set_router_count(this->shared.membership.alive_vms());
     if (this->shared.membership.completed_reads() != this->membership_reads)
     {
         this->membership_reads = this->shared.membership.completed_reads();
-        this->shared.budgets.note_peers(this->shared.membership.live_routers());
+        this->shared.budgets.set_peers(this->shared.membership.live_routers());
     }
     this->shared.metrics.lines_dropped(this->shared.log.dropped());
     if (this->ready() != this->was_ready)
@@ -373,7 +375,7 @@
         this->shared.budgets.close();
         this->shared.membership.remove_own_row();
     }
-    call_after(this->timer, tick_interval, [this] { this->tick(); });
+    run_after(this->timer, tick_interval, [this] { this->tick(); });
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -24,7 +24,7 @@
 {
 public:
     gateway_server(asio::io_context& loop, settings const& settings,
-                   dialect adapter, store::async_port const& store,
+                   protocol_adapter adapter, store::async_port const& store,
                    incarnation_id incarnation, int log_descriptor);
     ~gateway_server();
 
@@ -46,7 +46,7 @@
     /// Rejects the requests that are still open: if the loop is behind, the
     /// process may reach its end before their timers fire. Call after the loop
     /// has ended; runs it for a short time. @pre `stopped()`.
-    void answer_overdue();
+    void reject_open_requests();
 
     /// Writes the rest of the log. Call after the loop has ended.
     void flush_log();
--- a/src/gateway/gateway_views.cpp
+++ b/src/gateway/gateway_views.cpp
@@ -18,8 +18,8 @@
     auto const salt = fleet::stable_hash(this->shared.settings.vm);
     auto const missed = [this](error const& why)
     {
-        this->shared.log.fault(why);
-        this->shared.crashes.store_call_missed();
+        this->shared.log.write_error(why);
+        this->shared.crashes.note_lost_store_call();
     };
     auto const on_site = [this](store::feed_page const& page)
     {
@@ -59,7 +59,7 @@
         auto read = this->shared.adapter.read_site(row.value);
         if (auto const* fault = std::get_if<error>(&read))
         {
-            this->shared.log.fault(*fault);
+            this->shared.log.write_error(*fault);
             continue;
         }
         auto& parts = std::get<fleet::site_parts>(read);
@@ -83,8 +83,8 @@
              {"routes", std::to_string(this->shared.site->routes().size())},
              {"rows", std::to_string(page.rows.size())},
              {"bytes", std::to_string(page.cost.bytes)},
-             {"answered_ms", std::to_string(page.cost.answered.ms)},
-             {"read_ms", std::to_string(page.cost.took.ms)},
+             {"answered_ms", std::to_string(page.cost.time_to_first_byte.ms)},
+             {"read_ms", std::to_string(page.cost.total_time.ms)},
              {"apply_ms",
               std::to_string((this->shared.now.now() - began).ms)}});
     }
@@ -98,7 +98,7 @@
     auto const read = this->shared.adapter.read_server(row.key, row.value);
     if (auto const* fault = std::get_if<error>(&read))
     {
-        this->shared.log.fault(*fault);
+        this->shared.log.write_error(*fault);
         return std::nullopt;
     }
     return std::get<fleet::server_entry>(read);
--- a/src/gateway/http_client.cpp
+++ b/src/gateway/http_client.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-void probe_silence(asio::ip::tcp::socket& socket, bool on)
+void set_keepalive_probes(asio::ip::tcp::socket& socket, bool on)
 {
     auto const set = [&socket](int level, int name, int value)
     {
@@ -63,14 +63,14 @@
             static_cast<std::uint16_t>(std::stoul(address.substr(colon + 1)))};
 }
 
-http_caller::http_caller(asio::any_io_executor executor,
+http_client::http_client(asio::any_io_executor executor,
                          std::string const& address)
     : executor{std::move(executor)}, peer{endpoint_of(address)}
 {
 }
 
-void http_caller::send(http::request<http::string_body> request,
-                       call_limits limits,
+void http_client::send(http::request<http::string_body> request,
+                       call_timeouts limits,
                        std::function<void(call_result)> done)
 {
     asio::co_spawn(this->executor, this->exchange(std::move(request), limits),
@@ -86,9 +86,9 @@
                    });
 }
 
-void http_caller::send_short(http::request<http::string_body> request,
-                             duration longest,
-                             std::function<void(call_result)> done)
+void http_client::send_with_adaptive_timeout(
+    http::request<http::string_body> request, duration longest,
+    std::function<void(call_result)> done)
 {
     this->send(
         std::move(request),
@@ -96,14 +96,14 @@
         [this, began = this->now.now(), done = std::move(done)](auto result)
         {
             this->timeout_estimate =
-                result.answer ? after_response(this->timeout_estimate,
-                                               this->now.now() - began)
-                              : after_timeout(this->timeout_estimate);
+                result.response ? after_response(this->timeout_estimate,
+                                                 this->now.now() - began)
+                                : after_timeout(this->timeout_estimate);
             done(std::move(result));
         });
 }
 
-http_caller::stream_ptr http_caller::take()
+http_client::stream_ptr http_client::take()
 {
     while (!this->idle.empty())
     {
@@ -125,18 +125,18 @@
 }
 
 asio::awaitable<call_result>
-http_caller::exchange(http::request<http::string_body> request,
-                      call_limits limits)
+http_client::exchange(http::request<http::string_body> request,
+                      call_timeouts limits)
 {
     call_result result;
     boost::system::error_code fault;
     auto const began = this->now.now();
     auto stream = this->take();
-    auto const is_held = limits.held > duration{0};
+    auto const is_held = limits.long_poll > duration{0};
     if (!stream)
     {
         stream = std::make_unique<boost::beast::tcp_stream>(this->executor);
-        stream->expires_after(to_chrono(limits.answer - limits.held));
+        stream->expires_after(to_chrono(limits.first_byte - limits.long_poll));
         co_await stream->async_connect(
             this->peer, asio::redirect_error(asio::use_awaitable, fault));
         if (fault)
@@ -148,9 +148,9 @@
     }
     if (is_held)
     {
-        probe_silence(stream->socket(), true);
+        set_keepalive_probes(stream->socket(), true);
     }
-    stream->expires_after(to_chrono(limits.answer));
+    stream->expires_after(to_chrono(limits.first_byte));
     result.sent = true;
     co_await http::async_write(
         *stream, request, asio::redirect_error(asio::use_awaitable, fault));
@@ -160,14 +160,14 @@
         co_return result;
     }
     auto reusable = false;
-    co_await this->read_response(*stream, began, limits.stall, result,
+    co_await this->read_response(*stream, began, limits.stall_timeout, result,
                                  reusable);
     stream->expires_never();
     if (reusable && this->idle.size() < max_idle_connections)
     {
         if (is_held)
         {
-            probe_silence(stream->socket(), false);
+            set_keepalive_probes(stream->socket(), false);
         }
         this->idle.push_back(std::move(stream));
     }
@@ -175,7 +175,7 @@
 }
 
 asio::awaitable<void>
-http_caller::read_response(boost::beast::tcp_stream& stream, instant began,
+http_client::read_response(boost::beast::tcp_stream& stream, instant began,
                            duration stall, call_result& result, bool& reusable)
 {
     auto& cost = result.cost;
@@ -190,10 +190,10 @@
             stream, buffer, parser,
             asio::redirect_error(asio::use_awaitable, fault));
         auto const at = this->now.now();
-        cost.took = at - began;
+        cost.total_time = at - began;
         if (cost.bytes == 0)
         {
-            cost.answered = cost.took;
+            cost.time_to_first_byte = cost.total_time;
             watch = start_stall_detector(stall, at);
             // With the small default buffer each 512 bytes would take one
             // system call.
@@ -207,11 +207,11 @@
     {
         result.detail = "read: " + fault.message() + " after " +
                         std::to_string(cost.bytes) + " bytes in " +
-                        std::to_string(cost.took.ms) + " ms";
+                        std::to_string(cost.total_time.ms) + " ms";
         co_return;
     }
     reusable = parser.keep_alive() && buffer.size() == 0;
-    result.answer = parser.release();
+    result.response = parser.release();
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/http_client.hpp
+++ b/src/gateway/http_client.hpp
@@ -29,59 +29,61 @@
 struct call_result
 {
     bool sent{false}; ///< the peer may have received some of it
-    std::optional<http::response<http::string_body>> answer;
+    std::optional<http::response<http::string_body>> response;
     std::string detail; ///< why there is no response
     store::read_cost cost{};
 };
 
-/// Timeouts of a call: `answer` to connect, and `answer` again until the
-/// response begins. The rest may take as long as it makes progress: each period
-/// of `stall` must bring `least_progress`.
-struct call_limits
+/// Timeouts of a call: `first_byte` to connect, and `first_byte` again until
+/// the response begins. The rest may take as long as it makes progress: each
+/// period of `stall_timeout` must bring `least_progress`.
+struct call_timeouts
 {
-    duration answer{};
-    duration stall{};
-    /// The part of `answer` for which the peer holds the call on purpose (long
-    /// polling). It does not apply to connecting. While the call is held the
-    /// kernel probes the connection; if it goes silent, the call ends within
-    /// `longest_unnoticed_silence`.
-    duration held{};
-
-    friend bool operator==(call_limits const&, call_limits const&) = default;
+    duration first_byte{};
+    duration stall_timeout{};
+    /// The part of `first_byte` for which the peer holds the call on purpose
+    /// (long polling). It does not apply to connecting. While the call is held
+    /// the kernel probes the connection; if it goes silent, the call ends
+    /// within `longest_unnoticed_silence`.
+    duration long_poll{};
+
+    friend bool operator==(call_timeouts const&,
+                           call_timeouts const&) = default;
 };
 
 inline constexpr duration longest_unnoticed_silence{2'000};
 
 /// Turns keep-alive probes of an idle connection on or off. Thread safe for
 /// different sockets.
-void probe_silence(asio::ip::tcp::socket& socket, bool on);
+void set_keepalive_probes(asio::ip::tcp::socket& socket, bool on);
 
 /// An HTTP/1.1 client for one peer that keeps a few connections open. A call is
 /// sent at most once. Loop thread only; callbacks run later, never from within
 /// `send`. The client must outlive all calls.
-class http_caller
+class http_client
 {
 public:
     /// @pre `address` is "IP:port".
-    http_caller(asio::any_io_executor executor, std::string const& address);
+    http_client(asio::any_io_executor executor, std::string const& address);
 
     /// Sends `request` within `limits`. The connection of a call without a
     /// complete response is closed, since a late response would be taken for
     /// that of the next call.
-    void send(http::request<http::string_body> request, call_limits limits,
+    void send(http::request<http::string_body> request, call_timeouts limits,
               std::function<void(call_result)> done);
 
     /// The same for a call to which the peer responds immediately: the timeout
     /// adapts to recent response times, up to `longest`. The stall timeout is
     /// `longest`.
-    void send_short(http::request<http::string_body> request, duration longest,
-                    std::function<void(call_result)> done);
+    void send_with_adaptive_timeout(http::request<http::string_body> request,
+                                    duration longest,
+                                    std::function<void(call_result)> done);
 
 private:
     using stream_ptr = std::unique_ptr<boost::beast::tcp_stream>;
 
     asio::awaitable<call_result>
-    exchange(http::request<http::string_body> request, call_limits limits);
+    exchange(http::request<http::string_body> request, call_timeouts limits);
     stream_ptr take();
     asio::awaitable<void> read_response(boost::beast::tcp_stream& stream,
                                         instant began, duration stall,
--- a/src/gateway/membership_tracker.cpp
+++ b/src/gateway/membership_tracker.cpp
@@ -106,7 +106,7 @@
                       {
                           if (result.outcome != store::commit_outcome::applied)
                           {
-                              this->log.fault(result.fault);
+                              this->log.write_error(result.fault);
                               return;
                           }
                           this->lease = fleet::renewed(this->lease,
@@ -118,8 +118,7 @@
 
 void membership_tracker::heartbeat_after(duration pause)
 {
-    call_after(this->heartbeat_timer, pause,
-               [this] { this->send_heartbeat(); });
+    run_after(this->heartbeat_timer, pause, [this] { this->send_heartbeat(); });
 }
 
 /// Retries a failed read soon, since the view of the fleet expires.
@@ -132,7 +131,7 @@
         {
             if (auto const* fault = std::get_if<error>(&reply))
             {
-                this->log.fault(*fault);
+                this->log.write_error(*fault);
                 this->read_members_after(fleet::heartbeat_interval);
                 return;
             }
@@ -144,7 +143,7 @@
 
 void membership_tracker::read_members_after(duration pause)
 {
-    call_after(this->read_timer, pause, [this] { this->read_members(); });
+    run_after(this->read_timer, pause, [this] { this->read_members(); });
 }
 
 void membership_tracker::apply(std::vector<store::row> const& rows,
--- a/src/gateway/peer_socket.cpp
+++ b/src/gateway/peer_socket.cpp
@@ -44,14 +44,14 @@
 
 } // namespace
 
-peer_link::peer_link(boost::asio::any_io_executor const& executor,
-                     std::string const& address, decision_log& log)
+peer_socket::peer_socket(boost::asio::any_io_executor const& executor,
+                         std::string const& address, decision_log& log)
     : socket{executor}, local{endpoint_of(address).value_or(udp::endpoint{})},
       log{log}
 {
 }
 
-bool peer_link::start(receiver on_datagram)
+bool peer_socket::start(receiver on_datagram)
 {
     this->handler = std::move(on_datagram);
     boost::system::error_code fault;
@@ -66,15 +66,15 @@
     }
     if (fault)
     {
-        this->log.fault({error_kind::unavailable, "bind router port",
-                         text_of(this->local), fault.message()});
+        this->log.write_error({error_kind::unavailable, "bind router port",
+                               text_of(this->local), fault.message()});
         return false;
     }
     this->receive();
     return true;
 }
 
-void peer_link::send(std::string const& to, std::string const& bytes)
+void peer_socket::send(std::string const& to, std::string const& bytes)
 {
     auto const endpoint = endpoint_of(to);
     if (!endpoint)
@@ -91,7 +91,7 @@
 
 /// Logs failed sends at most once per interval: a full socket or a lost route
 /// fails hundreds of sends a second.
-void peer_link::log_unsent(std::string const& to, std::string const& why)
+void peer_socket::log_unsent(std::string const& to, std::string const& why)
 {
     this->unsent += 1;
     auto const at = this->now.now();
@@ -100,17 +100,17 @@
         return;
     }
     this->logged_at = at;
-    this->log.fault(
+    this->log.write_error(
         {error_kind::unavailable, "send to router", to,
          why + ", datagrams lost so far: " + std::to_string(this->unsent)});
 }
 
-std::string peer_link::address() const
+std::string peer_socket::address() const
 {
     return text_of(this->socket.local_endpoint());
 }
 
-void peer_link::receive()
+void peer_socket::receive()
 {
     this->socket.async_receive_from(
         boost::asio::buffer(this->buffer), this->sender,
--- a/src/gateway/peer_socket.hpp
+++ b/src/gateway/peer_socket.hpp
@@ -20,15 +20,15 @@
 /// Sends and receives datagrams between routers. Datagrams may be lost,
 /// delayed, duplicated or reordered. Loop thread only; outlives its calls, and
 /// `log` outlives it.
-class peer_link
+class peer_socket
 {
 public:
     /// Called with the sender's "IP:port" and the bytes.
     using receiver =
         std::function<void(std::string const& from, std::string const& bytes)>;
 
-    peer_link(boost::asio::any_io_executor const& executor,
-              std::string const& address, decision_log& log);
+    peer_socket(boost::asio::any_io_executor const& executor,
+                std::string const& address, decision_log& log);
 
     /// Binds the address and starts to receive; call once. Returns false, with
     /// a log line, if the address cannot be bound.
--- a/src/gateway/protocol_adapter.hpp
+++ b/src/gateway/protocol_adapter.hpp
@@ -26,9 +26,9 @@
 /// The content of the head of a request. Immutable value.
 struct request_facts
 {
-    std::string id;                   ///< of this attempt by the caller
-    std::optional<duration> patience; ///< how long the caller waits
-    std::string key;                  ///< API key; empty if not sent
+    std::string id;                  ///< of this attempt by the caller
+    std::optional<duration> timeout; ///< how long the caller waits
+    std::string key;                 ///< API key; empty if not sent
     token_count prompt_tokens{};
     token_count output_tokens{}; ///< upper bound
     std::uint64_t shared_part{}; ///< 0 if the prompt shares nothing
@@ -54,7 +54,7 @@
 };
 
 /// The content of the head of a response. Immutable value.
-struct answer_facts
+struct response_facts
 {
     std::string request_id; ///< the request it answers; empty if not stated
     bool is_signed{false};
@@ -63,11 +63,12 @@
     std::optional<fleet::load_report> load;
     std::optional<duration> idle_timeout; ///< of the connection
 
-    friend bool operator==(answer_facts const&, answer_facts const&) = default;
+    friend bool operator==(response_facts const&,
+                           response_facts const&) = default;
 };
 
 /// Functions of the adapter; each is pure and thread safe.
-struct dialect
+struct protocol_adapter
 {
     request_facts (*read_request)(http::fields const& head){};
 
@@ -75,14 +76,15 @@
     /// `facts`.
     void (*prepare_request)(http::fields& head, dispatch_facts const& facts){};
 
-    answer_facts (*read_answer)(http::fields const& head, unsigned status){};
+    response_facts (*read_response)(http::fields const& head,
+                                    unsigned status){};
 
     /// Removes the fields that concern only the connection to the server.
-    void (*prepare_answer)(http::fields& head){};
+    void (*prepare_response)(http::fields& head){};
 
     /// Sets the fields of a rejection of request `id` by the gateway.
-    void (*prepare_refusal)(http::fields& head, std::string const& id,
-                            std::optional<duration> retry_after){};
+    void (*prepare_rejection)(http::fields& head, std::string const& id,
+                              std::optional<duration> retry_after){};
 
     /// Parses the configuration that the operators wrote.
     std::variant<fleet::site_parts, error> (*read_site)(
--- a/src/gateway/run_after.hpp
+++ b/src/gateway/run_after.hpp
@@ -20,8 +20,8 @@
 
 /// Calls `next` after `pause`, unless `timer` is set again, cancelled or
 /// destroyed before. Loop thread only.
-inline void call_after(boost::asio::steady_timer& timer, duration pause,
-                       std::function<void()> next)
+inline void run_after(boost::asio::steady_timer& timer, duration pause,
+                      std::function<void()> next)
 {
     timer.expires_after(to_chrono(pause));
     timer.async_wait(
--- a/src/gateway/server_call.cpp
+++ b/src/gateway/server_call.cpp
@@ -266,7 +266,7 @@
 {
     auto const& head = this->response->get();
     this->facts =
-        this->current.shared.adapter.read_answer(head, head.result_int());
+        this->current.shared.adapter.read_response(head, head.result_int());
     auto const interim = head.result_int() < first_final_status;
     auto const foreign = !this->facts.request_id.empty() &&
                          this->facts.request_id != this->current.facts.id;
--- a/src/gateway/server_call.hpp
+++ b/src/gateway/server_call.hpp
@@ -24,7 +24,7 @@
     server_call(server_call const&) = delete;
     server_call& operator=(server_call const&) = delete;
 
-    /// Runs the attempt. On `answered` the whole response was sent to the
+    /// Runs the attempt. On `responded` the whole response was sent to the
     /// caller. On `in_doubt` after a part of it was sent, the stream can resume
     /// after `current.events.last_id()`.
     asio::awaitable<fleet::attempt_outcome> run();
@@ -55,7 +55,7 @@
     fleet::placement where;
     connection_ptr connection;
     std::unique_ptr<parser> response;
-    answer_facts facts;
+    response_facts facts;
     std::string body; ///< parsed and not relayed yet
     instant sent_at{};
     std::optional<instant> first_part_at;
--- a/src/gateway/server_call_relay.cpp
+++ b/src/gateway/server_call_relay.cpp
@@ -73,7 +73,7 @@
     {
         head.insert(field.name(), field.name_string(), field.value());
     }
-    this->current.shared.adapter.prepare_answer(head);
+    this->current.shared.adapter.prepare_response(head);
     this->current.keep_connection =
         this->current.keep_connection && !this->current.shared.stop;
     if (!this->current.keep_connection)
--- a/src/gateway/spend_row_writer.cpp
+++ b/src/gateway/spend_row_writer.cpp
@@ -15,10 +15,10 @@
 
 } // namespace
 
-spend_keeper::spend_keeper(boost::asio::any_io_executor const& executor,
-                           store::async_port port, std::string vm,
-                           std::string address, incarnation_id self,
-                           spend_listener listener, decision_log& log)
+spend_row_writer::spend_row_writer(boost::asio::any_io_executor const& executor,
+                                   store::async_port port, std::string vm,
+                                   std::string address, incarnation_id self,
+                                   spend_listener listener, decision_log& log)
     : timer{executor}, port{std::move(port)}, vm{std::move(vm)},
       listener{std::move(listener)}, log{log}
 {
@@ -26,25 +26,25 @@
     this->journal.written.address = std::move(address);
 }
 
-void spend_keeper::start()
+void spend_row_writer::start()
 {
     this->started_at = this->now.now();
     this->read_previous();
 }
 
-void spend_keeper::schedule(duration pause, std::function<void()> next)
+void spend_row_writer::schedule(duration pause, std::function<void()> next)
 {
-    call_after(this->timer, pause, std::move(next));
+    run_after(this->timer, pause, std::move(next));
 }
 
-void spend_keeper::read_previous()
+void spend_row_writer::read_previous()
 {
     this->port.read(budget::spend_key(this->vm),
                     [this](std::variant<store::row, error> const& reply)
                     {
                         if (auto const* fault = std::get_if<error>(&reply))
                         {
-                            this->log.fault(*fault);
+                            this->log.write_error(*fault);
                             this->schedule(retry_pause,
                                            [this] { this->read_previous(); });
                             return;
@@ -53,7 +53,7 @@
                     });
 }
 
-void spend_keeper::use_previous(store::row const& row)
+void spend_row_writer::use_previous(store::row const& row)
 {
     this->journal.version = row.version;
     auto const found =
@@ -62,7 +62,7 @@
             : value_or_error([&] { return budget::decode_spend(row.value); });
     if (auto const* fault = std::get_if<error>(&found))
     {
-        this->log.fault(*fault);
+        this->log.write_error(*fault);
     }
     auto const* const previous_row = std::get_if<budget::spend_row>(&found);
     // A row of this router is a first write whose response was lost.
@@ -75,7 +75,7 @@
     this->first_write();
 }
 
-void spend_keeper::send(
+void spend_row_writer::send(
     std::map<budget_id, budget::spend_limit_curve> const& limits,
     std::function<void(store::commit_result const&)> done)
 {
@@ -94,18 +94,18 @@
 
 /// The response to the first write has the store's time, which bounds what the
 /// previous router can have spent.
-void spend_keeper::first_write()
+void spend_row_writer::first_write()
 {
     this->first_sent_at = this->now.now();
     this->send({}, [this](store::commit_result const& result)
                { this->finish_first_write(result); });
 }
 
-void spend_keeper::finish_first_write(store::commit_result const& result)
+void spend_row_writer::finish_first_write(store::commit_result const& result)
 {
     if (result.outcome != store::commit_outcome::applied)
     {
-        this->log.fault(result.fault);
+        this->log.write_error(result.fault);
         this->schedule(retry_pause, [this] { this->read_previous(); });
         return;
     }
@@ -137,7 +137,7 @@
     this->write();
 }
 
-void spend_keeper::write_soon()
+void spend_row_writer::write_soon()
 {
     if (!this->started || this->journal.fenced)
     {
@@ -154,7 +154,7 @@
     this->write();
 }
 
-void spend_keeper::write()
+void spend_row_writer::write()
 {
     if (this->writing)
     {
@@ -169,7 +169,7 @@
                [this](auto const& result) { this->finish_write(result); });
 }
 
-void spend_keeper::finish_write(store::commit_result const& result)
+void spend_row_writer::finish_write(store::commit_result const& result)
 {
     this->writing = false;
     if (result.outcome != store::commit_outcome::applied)
@@ -192,7 +192,7 @@
 
 /// A write without a response may be applied later. The row in the store is
 /// then this router's own, and the next write is conditional on its version.
-void spend_keeper::retry_rejected(store::commit_result const& result)
+void spend_row_writer::retry_rejected(store::commit_result const& result)
 {
     auto was_applied = false;
     for (auto const& row : result.failed)
@@ -226,20 +226,20 @@
     this->schedule(retry_pause, [this] { this->write(); });
 }
 
-token_count spend_keeper::limit(budget_id const& budget,
-                                budget::held_tokens const& held,
-                                instant at) const
+token_count spend_row_writer::limit(budget_id const& budget,
+                                    budget::held_tokens const& held,
+                                    instant at) const
 {
     return this->started ? budget::spend_limit(this->journal, budget, held, at)
                          : 0;
 }
 
-bool spend_keeper::has_written_since(instant at) const
+bool spend_row_writer::has_written_since(instant at) const
 {
     return this->acknowledged_sent_at >= at;
 }
 
-bool spend_keeper::ready() const
+bool spend_row_writer::ready() const
 {
     return this->started;
 }
--- a/src/gateway/spend_row_writer.hpp
+++ b/src/gateway/spend_row_writer.hpp
@@ -49,13 +49,13 @@
 /// Writes this router's spend row to the store and reads that of the previous
 /// router at this address. Loop thread only; outlives its calls, and `log`
 /// outlives it.
-class spend_keeper
+class spend_row_writer
 {
 public:
-    spend_keeper(boost::asio::any_io_executor const& executor,
-                 store::async_port port, std::string vm, std::string address,
-                 incarnation_id self, spend_listener listener,
-                 decision_log& log);
+    spend_row_writer(boost::asio::any_io_executor const& executor,
+                     store::async_port port, std::string vm,
+                     std::string address, incarnation_id self,
+                     spend_listener listener, decision_log& log);
 
     /// Starts reading and writing; call once. @pre the own address is bound,
     /// which proves that the previous router at it is dead.
--- a/src/gateway/table_follower.cpp
+++ b/src/gateway/table_follower.cpp
@@ -28,7 +28,7 @@
 /// the newest.
 bool lags_behind(store::feed_page const& page)
 {
-    if (page.cost.took - page.cost.answered < slow_transfer)
+    if (page.cost.total_time - page.cost.time_to_first_byte < slow_transfer)
     {
         return false;
     }
@@ -74,8 +74,8 @@
                         this->failures = 0;
                         this->listed = true;
                         this->version = page.version;
-                        this->listener.reached(true, {});
-                        this->listener.listed(page);
+                        this->listener.on_reachability(true, {});
+                        this->listener.on_snapshot(page);
                         this->follow(this->hold);
                     });
 }
@@ -115,8 +115,8 @@
                           this->failures = 0;
                           this->lost_polls = 0;
                           this->version = page.version;
-                          this->listener.reached(true, {});
-                          this->listener.changed(page);
+                          this->listener.on_reachability(true, {});
+                          this->listener.on_change(page);
                           if (page.rows.empty() && hold == this->hold)
                           {
                               this->hold = next_hold(this->hold,
@@ -133,18 +133,18 @@
 
 void table_follower::follow_next()
 {
-    if (!this->listener.pause)
+    if (!this->listener.poll_delay)
     {
         this->follow(this->hold);
         return;
     }
-    this->schedule(this->listener.pause(),
+    this->schedule(this->listener.poll_delay(),
                    [this] { this->follow(this->hold); });
 }
 
 void table_follower::schedule(duration pause, std::function<void()> next)
 {
-    call_after(this->timer, pause, std::move(next));
+    run_after(this->timer, pause, std::move(next));
 }
 
 void table_follower::retry(error const& why)
@@ -153,11 +153,11 @@
     // A dropped history is not an outage, and neither is a single lost call.
     if (!history_gone && this->failures > 0)
     {
-        this->listener.reached(false, why);
+        this->listener.on_reachability(false, why);
     }
-    if (this->failures == 0 && this->listener.missed)
+    if (this->failures == 0 && this->listener.on_first_failure)
     {
-        this->listener.missed(why);
+        this->listener.on_first_failure(why);
     }
     this->failures += 1;
     this->hold = this->listener.hold;
--- a/src/gateway/table_follower.hpp
+++ b/src/gateway/table_follower.hpp
@@ -21,20 +21,20 @@
 struct table_listener
 {
     /// The whole table was read; rows that are not in the page do not exist.
-    std::function<void(store::feed_page const&)> listed;
+    std::function<void(store::feed_page const&)> on_snapshot;
 
     /// Rows changed.
-    std::function<void(store::feed_page const&)> changed;
+    std::function<void(store::feed_page const&)> on_change;
 
     /// The store responded, or failed to do so twice in a row.
-    std::function<void(bool reachable, error const& why)> reached;
+    std::function<void(bool reachable, error const& why)> on_reachability;
 
     /// A call failed after one that succeeded. Optional.
-    std::function<void(error const& why)> missed{};
+    std::function<void(error const& why)> on_first_failure{};
 
     /// Delay before the next call for changes, so that a table that changes
     /// constantly does not cost one call per change. No delay if not set.
-    std::function<duration()> pause{};
+    std::function<duration()> poll_delay{};
 
     /// How long the store holds a call while there are no changes. A connection
     /// that goes silent is detected after this time plus the response timeout.
--- a/src/gateway/token_exchange.cpp
+++ b/src/gateway/token_exchange.cpp
@@ -174,7 +174,7 @@
     auto const read = value_or_error([&] { return decode_packet(bytes); });
     if (auto const* fault = std::get_if<error>(&read))
     {
-        this->log.fault(*fault);
+        this->log.write_error(*fault);
         return;
     }
     this->handle_packet({from}, std::get<peer_packet>(read), now);
--- a/src/http/exchange.hpp
+++ b/src/http/exchange.hpp
@@ -51,14 +51,14 @@
         head,  ///< status and headers received
         data,  ///< part of the body
         end,   ///< body complete
-        failed ///< the connection broke; see `sent`
+        failed ///< the connection broke; see `maybe_sent`
     };
 
-    kind what{kind::failed};
+    kind type{kind::failed};
     int status{};
     http::headers headers;
     std::string data;
-    bool sent{true}; ///< false: provably no byte reached the peer
+    bool maybe_sent{true}; ///< false: provably no byte reached the peer
     std::string detail;
 
     friend bool operator==(exchange_event const&,
--- a/src/load/attempt.hpp
+++ b/src/load/attempt.hpp
@@ -21,7 +21,7 @@
     std::string request_id;
     std::string outcome; ///< `Caperpath-Outcome`, empty if not given
     duration retry_after{};
-    chat_answer answer;
+    received_response answer;
     std::string code; ///< of a rejection
     ending end{ending::unanswered};
 
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -160,7 +160,7 @@
     else
     {
         received.answer = streamed
-                              ? reader.answer()
+                              ? reader.response()
                               : read_complete(body, this->watch.elapsed_us());
         received.code = received.answer.error_code;
         // The head of a stream is sent before its outcome is known, so the
--- a/src/load/response_reader.cpp
+++ b/src/load/response_reader.cpp
@@ -50,7 +50,7 @@
     return code.empty() ? text_of(member(error, "type")) : code;
 }
 
-void read_usage(json const& body, chat_answer& read)
+void read_usage(json const& body, received_response& read)
 {
     auto const& usage = member(body, "usage");
     if (usage.is_object())
@@ -67,7 +67,8 @@
     return choices.is_array() && !choices.empty() ? choices.front() : none;
 }
 
-void add_token(chat_answer& read, std::string const& text, std::int64_t now_us)
+void add_token(received_response& read, std::string const& text,
+               std::int64_t now_us)
 {
     read.text += text;
     if (read.first_token_us < 0)
@@ -81,7 +82,7 @@
     read.last_token_us = now_us;
 }
 
-void read_finish(json const& choice, chat_answer& read)
+void read_finish(json const& choice, received_response& read)
 {
     auto const reason = text_of(member(choice, "finish_reason"));
     if (!reason.empty())
@@ -100,7 +101,7 @@
     }
 }
 
-chat_answer const& stream_reader::answer() const
+received_response const& stream_reader::response() const
 {
     return this->read;
 }
@@ -130,10 +131,10 @@
     read_finish(choice, this->read);
 }
 
-chat_answer read_complete(std::string_view body, std::int64_t now_us)
+received_response read_complete(std::string_view body, std::int64_t now_us)
 {
     auto const object = parse(body);
-    chat_answer read;
+    received_response read;
     read_usage(object, read);
     auto const& choice = first_choice(object);
     auto const& content = member(member(choice, "message"), "content");
@@ -152,12 +153,12 @@
 }
 
 verdict check_response(std::string const& prompt, std::int64_t max_tokens,
-                       chat_answer const& answer)
+                       received_response const& answer)
 {
     // The response depends on all messages, each ended by a line break.
     auto const seen = prompt + "\n";
-    auto const length = std::min(stand_in::answer_length(seen), max_tokens);
-    auto const expected = stand_in::answer_text(seen, 0, length);
+    auto const length = std::min(stand_in::response_length(seen), max_tokens);
+    auto const expected = stand_in::response_text(seen, 0, length);
     if (!expected.starts_with(answer.text))
     {
         return verdict::wrong;
--- a/src/load/response_reader.hpp
+++ b/src/load/response_reader.hpp
@@ -14,7 +14,7 @@
 {
 
 /// The part of one chat response read so far.
-struct chat_answer
+struct received_response
 {
     std::string text;
     std::string finish_reason;
@@ -27,7 +27,8 @@
     std::int64_t last_token_us{-1};
     std::vector<std::int64_t> gap_us;
 
-    friend bool operator==(chat_answer const&, chat_answer const&) = default;
+    friend bool operator==(received_response const&,
+                           received_response const&) = default;
 };
 
 /// Reads a streamed response in pieces. Not thread safe.
@@ -37,17 +38,17 @@
     /// Parses `piece`, received at `now_us`.
     void feed(std::string_view piece, std::int64_t now_us);
 
-    chat_answer const& answer() const;
+    received_response const& response() const;
 
 private:
     void take(std::string_view event, std::int64_t now_us);
 
     request::sse_splitter splitter;
-    chat_answer read;
+    received_response read;
 };
 
 /// Reads a response in one piece, received at `now_us`. Thread safe.
-chat_answer read_complete(std::string_view body, std::int64_t now_us);
+received_response read_complete(std::string_view body, std::int64_t now_us);
 
 /// Returns the code of an OpenAI error object, or else its type, or an empty
 /// string. Thread safe.
@@ -63,7 +64,7 @@
 /// Compares a response with the expected response of the engine emulator to a
 /// request with `prompt` in one user message. Thread safe.
 verdict check_response(std::string const& prompt, std::int64_t max_tokens,
-                       chat_answer const& answer);
+                       received_response const& answer);
 
 } // namespace caperpath::load
 
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -62,7 +62,7 @@
 }
 
 void write(google::LogSeverity severity, log_context const& context,
-           std::string_view detail, code_place at)
+           std::string_view detail, source_location at)
 {
     google::LogMessage message{at.file, at.line, severity};
     message.stream() << format_line(context, detail);
@@ -133,24 +133,25 @@
 }
 
 void log_info(log_context const& context, std::string_view detail,
-              code_place at)
+              source_location at)
 {
     write(google::GLOG_INFO, context, detail, at);
 }
 
 void log_warning(log_context const& context, std::string_view detail,
-                 code_place at)
+                 source_location at)
 {
     write(google::GLOG_WARNING, context, detail, at);
 }
 
 void log_error(log_context const& context, std::string_view detail,
-               code_place at)
+               source_location at)
 {
     write(google::GLOG_ERROR, context, detail, at);
 }
 
-void log_fault(std::string_view request, error const& fault, code_place at)
+void log_failure(std::string_view request, error const& fault,
+                 source_location at)
 {
     auto const detail =
         std::string{to_string(fault.kind)} + ": " + fault.detail;
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -93,7 +93,7 @@
     {
     case store::commit_outcome::applied:
         return "applied";
-    case store::commit_outcome::refused:
+    case store::commit_outcome::rejected:
         return "refused";
     case store::commit_outcome::unknown:
         break;
@@ -171,7 +171,7 @@
         .Increment();
 }
 
-void metrics::refused(std::string_view code)
+void metrics::request_rejected(std::string_view code)
 {
     auto& self = *this->self;
     std::lock_guard const lock{self.mutex};
--- a/src/request/claim_finish.cpp
+++ b/src/request/claim_finish.cpp
@@ -149,7 +149,7 @@
         txn.writes.push_back({key, std::nullopt});
     }
     auto outcome = store.platform.commit(txn);
-    if (outcome.outcome == commit_outcome::refused && !outcome.failed.empty())
+    if (outcome.outcome == commit_outcome::rejected && !outcome.failed.empty())
     {
         auto const changed = [&outcome](auto const& entry)
         {
--- a/src/request/claim_row.cpp
+++ b/src/request/claim_row.cpp
@@ -115,7 +115,7 @@
     object["object"] = row.object;
 }
 
-void read_answer(json const& object, claim_row& row)
+void read_response(json const& object, claim_row& row)
 {
     row.response.status = object.at("status").get<int>();
     row.response.content_type = object.at("content_type").get<std::string>();
@@ -138,7 +138,7 @@
     row.keep_until = {object.at("keep_until").get<std::int64_t>()};
     if (row.state == claim_state::done)
     {
-        read_answer(object, row);
+        read_response(object, row);
     }
     return row;
 }
--- a/src/request/claim_store.cpp
+++ b/src/request/claim_store.cpp
@@ -133,7 +133,7 @@
                    ? this->make_claimed(decision.reply, version + 1,
                                         decision.wanted)
                    : this->make_reply(decision.reply);
-    case commit_outcome::refused:
+    case commit_outcome::rejected:
         if (!outcome.failed.empty())
         {
             this->handle_conflict(outcome.failed);
--- a/src/router/chat_relay.cpp
+++ b/src/router/chat_relay.cpp
@@ -186,7 +186,7 @@
 chat_relay::handle_event(http::exchange_event const& event)
 {
     this->awaiting_response = false;
-    switch (event.what)
+    switch (event.type)
     {
     case http::exchange_event::kind::head:
         return this->handle_head(event);
@@ -198,7 +198,7 @@
     case http::exchange_event::kind::failed:
         break;
     }
-    this->may_have_run = this->may_have_run || event.sent;
+    this->may_have_run = this->may_have_run || event.maybe_sent;
     return this->retry_after_failure(event.detail);
 }
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -211,7 +211,7 @@
 
 bool router::drain_commanded() const
 {
-    return this->owned->configuration->drain_ordered();
+    return this->owned->configuration->drain_commanded();
 }
 
 void router::disconnect()
@@ -246,7 +246,7 @@
         remaining.budgets.begin(), remaining.budgets.end(),
         [](auto const& budget) { return budget.granted > budget.settled; });
     auto const unfinished_claims =
-        unfinished.open + unfinished.pending + unfinished.doubtful;
+        unfinished.open + unfinished.pending + unfinished.uncertain;
     return {static_cast<std::int64_t>(remaining.unsettled_bills), with_shares,
             static_cast<std::int64_t>(unfinished_claims),
             remaining.clean && unfinished_claims == 0};
--- a/src/router/service_call.cpp
+++ b/src/router/service_call.cpp
@@ -77,7 +77,7 @@
                     {},
                     "no complete response before the deadline"};
         }
-        switch (event->what)
+        switch (event->type)
         {
         case http::exchange_event::kind::head:
             if (http::header_value(event->headers, "caperpath-not-run") ==
@@ -103,8 +103,8 @@
             return {attempt_status::answered, routing::attempt_result::ok,
                     std::move(response), ""};
         case http::exchange_event::kind::failed:
-            return {event->sent ? attempt_status::unknown
-                                : attempt_status::not_run,
+            return {event->maybe_sent ? attempt_status::unknown
+                                      : attempt_status::not_run,
                     routing::attempt_result::failed,
                     {},
                     event->detail};
--- a/src/stand_in/admin_routes.cpp
+++ b/src/stand_in/admin_routes.cpp
@@ -23,9 +23,9 @@
 
 } // namespace
 
-void add_fault_routes(httplib::Server& server, fault_board& board,
+void add_fault_routes(httplib::Server& server, fault_registry& board,
                       std::vector<std::string> kinds,
-                      std::function<void(ordered_fault const&)> accept)
+                      std::function<void(fault_command const&)> accept)
 {
     server.Post(
         "/faults",
@@ -50,7 +50,7 @@
                   });
 }
 
-void add_outage(httplib::Server& server, fault_board& board,
+void add_outage(httplib::Server& server, fault_registry& board,
                 std::vector<std::string> exempt_paths)
 {
     server.set_pre_routing_handler(
@@ -68,8 +68,8 @@
         });
 }
 
-void add_order_route(httplib::Server& server, order_desk& desk,
-                     std::function<void()> changed)
+void add_command_route(httplib::Server& server, command_handler& desk,
+                       std::function<void()> changed)
 {
     server.Post(
         "/orders",
@@ -94,8 +94,10 @@
         });
 }
 
-bool refused_by_order(fault_board& faults, order_desk const& orders,
-                      stop_signal& stopping, httplib::Response& response)
+bool rejected_by_fault_or_drain(fault_registry& faults,
+                                command_handler const& orders,
+                                stop_signal& stopping,
+                                httplib::Response& response)
 {
     if (auto const delay = faults.take("delay"))
     {
--- a/src/stand_in/chat_request.cpp
+++ b/src/stand_in/chat_request.cpp
@@ -80,9 +80,10 @@
     return id;
 }
 
-answer_form read_form(config::json_reader& reader, nlohmann::json const& body)
+response_format read_form(config::json_reader& reader,
+                          nlohmann::json const& body)
 {
-    answer_form form;
+    response_format form;
     form.model = reader.text("model");
     form.created = clock::wall().now().ms / ms_per_second;
     form.streamed = reader.boolean_or("stream", false);
@@ -111,7 +112,7 @@
     }
     auto& generation = chat.generation;
     generation.prompt = prompt_text(body.at("messages"));
-    auto const length = answer_length(generation.prompt);
+    auto const length = response_length(generation.prompt);
     generation.last = std::min(length, max_tokens);
     chat.form.finish_reason = length > max_tokens ? "length" : "stop";
     generation.request = read_request_id(request, faults);
--- a/src/stand_in/chat_request.hpp
+++ b/src/stand_in/chat_request.hpp
@@ -18,7 +18,7 @@
 struct chat_request
 {
     generation_request generation;
-    answer_form form;
+    response_format form;
 
     friend bool operator==(chat_request const&, chat_request const&) = default;
 };
--- a/src/stand_in/command_handler.cpp
+++ b/src/stand_in/command_handler.cpp
@@ -21,11 +21,11 @@
 
 } // namespace
 
-backend_order parse_order(nlohmann::json const& body,
-                          std::vector<config::fault>& faults)
+backend_command parse_order(nlohmann::json const& body,
+                            std::vector<config::fault>& faults)
 {
     config::json_reader reader{body, "", faults};
-    backend_order order;
+    backend_command order;
     order.fencing = reader.integer("fencing", "orders given", 0,
                                    std::numeric_limits<std::int64_t>::max());
     order.kind = reader.text("order");
@@ -46,12 +46,12 @@
     return order;
 }
 
-order_desk::order_desk(bool checks_fencing, std::string model)
+command_handler::command_handler(bool checks_fencing, std::string model)
     : checks_fencing{checks_fencing}, loaded{std::move(model)}
 {
 }
 
-bool order_desk::apply(backend_order const& order)
+bool command_handler::apply(backend_command const& order)
 {
     std::lock_guard const lock{this->mutex};
     if (this->checks_fencing && order.fencing < this->largest_fencing)
@@ -80,25 +80,25 @@
     return true;
 }
 
-bool order_desk::leaving() const
+bool command_handler::leaving() const
 {
     std::lock_guard const lock{this->mutex};
     return this->draining;
 }
 
-bool order_desk::has_model(std::string const& model) const
+bool command_handler::has_model(std::string const& model) const
 {
     std::lock_guard const lock{this->mutex};
     return this->loaded.contains(model);
 }
 
-std::set<std::string> order_desk::models() const
+std::set<std::string> command_handler::models() const
 {
     std::lock_guard const lock{this->mutex};
     return this->loaded;
 }
 
-nlohmann::json order_desk::state() const
+nlohmann::json command_handler::state() const
 {
     std::lock_guard const lock{this->mutex};
     return {{"largest_fencing", this->largest_fencing},
--- a/src/stand_in/command_handler.hpp
+++ b/src/stand_in/command_handler.hpp
@@ -13,31 +13,31 @@
 {
 
 /// One call of `POST /orders`. Immutable value.
-struct backend_order
+struct backend_command
 {
     std::int64_t fencing{};
     std::string kind;     ///< load_model, unload_model, set_role, leave, stay
     std::string argument; ///< the model or the role, else empty
 
-    friend bool operator==(backend_order const&,
-                           backend_order const&) = default;
+    friend bool operator==(backend_command const&,
+                           backend_command const&) = default;
 };
 
 /// Reads and checks the body of `POST /orders`. Thread safe.
-backend_order parse_order(nlohmann::json const& body,
-                          std::vector<config::fault>& faults);
+backend_command parse_order(nlohmann::json const& body,
+                            std::vector<config::fault>& faults);
 
 /// Applies commands to a backend server and keeps their state. Thread safe.
-class order_desk
+class command_handler
 {
 public:
     /// @param checks_fencing reject a command whose fencing number is below
     /// the largest received; otherwise apply every command, as engines
     /// without this check do.
-    order_desk(bool checks_fencing, std::string model);
+    command_handler(bool checks_fencing, std::string model);
 
     /// Returns false, without effect, if the fencing number is old.
-    bool apply(backend_order const& order);
+    bool apply(backend_command const& order);
 
     bool leaving() const;
     bool has_model(std::string const& model) const;
--- a/src/stand_in/engine.cpp
+++ b/src/stand_in/engine.cpp
@@ -89,7 +89,7 @@
             },
             [this]
             {
-                auto const slow = this->faults.look("slow");
+                auto const slow = this->faults.peek("slow");
                 return slow ? static_cast<double>(slow->factor) : 1.0;
             },
             [this](std::int64_t running, std::int64_t queued)
@@ -110,15 +110,15 @@
     using httplib::Response;
     add_outage(this->server, this->faults, {"/faults", "/stats"});
     add_fault_routes(this->server, this->faults, fault_kinds(),
-                     [this](ordered_fault const& fault)
+                     [this](fault_command const& fault)
                      { this->accept_fault(fault); });
-    add_order_route(this->server, this->orders,
-                    [this]
-                    {
-                        this->history.update(
-                            [this](load_sample& sample)
-                            { sample.leaving = this->orders.leaving(); });
-                    });
+    add_command_route(this->server, this->orders,
+                      [this]
+                      {
+                          this->history.update(
+                              [this](load_sample& sample)
+                              { sample.leaving = this->orders.leaving(); });
+                      });
     this->server.Post("/v1/chat/completions",
                       [this](Request const& request, Response& response)
                       { this->chat(request, response); });
@@ -168,7 +168,8 @@
 
 bool engine::reject_chat(std::string const& model, httplib::Response& response)
 {
-    if (refused_by_order(this->faults, this->orders, this->stopping, response))
+    if (rejected_by_fault_or_drain(this->faults, this->orders, this->stopping,
+                                   response))
     {
         return true;
     }
@@ -182,13 +183,13 @@
     return false;
 }
 
-void engine::answer(std::shared_ptr<generation> const& source, answer_form form,
-                    httplib::Response& response)
+void engine::answer(std::shared_ptr<generation> const& source,
+                    response_format form, httplib::Response& response)
 {
     auto const* const type =
         form.streamed ? "text/event-stream" : "application/json";
     auto const stream =
-        std::make_shared<answer_stream>(source, std::move(form));
+        std::make_shared<response_stream>(source, std::move(form));
     this->take_faults(stream->faults);
     {
         std::lock_guard const lock{this->open_mutex};
@@ -225,7 +226,7 @@
     faults.skip_chunk = place("skip_chunk");
 }
 
-void engine::accept_fault(ordered_fault const& fault)
+void engine::accept_fault(fault_command const& fault)
 {
     if (fault.count == 0)
     {
@@ -238,7 +239,7 @@
     }
 }
 
-void engine::apply_to_open(ordered_fault const& fault)
+void engine::apply_to_open(fault_command const& fault)
 {
     std::lock_guard const lock{this->open_mutex};
     for (auto const& weak : this->open)
--- a/src/stand_in/engine.hpp
+++ b/src/stand_in/engine.hpp
@@ -24,7 +24,7 @@
 
 /// Emulator of a model engine: an OpenAI chat endpoint over continuous batching
 /// with a service-time model (see `engine_settings`), and a fault interface. It
-/// runs no model: the prompt determines the response (see `answer.hpp`).
+/// runs no model: the prompt determines the response (see `response_text.hpp`).
 /// Thread safe.
 class engine
 {
@@ -46,11 +46,11 @@
     void add_routes();
     void chat(httplib::Request const& request, httplib::Response& response);
     bool reject_chat(std::string const& model, httplib::Response& response);
-    void answer(std::shared_ptr<generation> const& source, answer_form form,
+    void answer(std::shared_ptr<generation> const& source, response_format form,
                 httplib::Response& response);
     void take_faults(stream_faults& faults);
-    void accept_fault(ordered_fault const& fault);
-    void apply_to_open(ordered_fault const& fault);
+    void accept_fault(fault_command const& fault);
+    void apply_to_open(fault_command const& fault);
     void cut_open();
     void cancel(httplib::Request const& request, httplib::Response& response);
     void stats(httplib::Response& response) const;
@@ -62,15 +62,15 @@
 
     engine_settings const settings;
     clock const time;
-    fault_board faults;
-    order_desk orders;
+    fault_registry faults;
+    command_handler orders;
     prefix_cache cache;
     load_history history;
     run_counter runs;
     std::atomic<std::uint64_t> requests_without_id{0}; // requests without an id
     stop_signal stopping;
     std::mutex open_mutex;
-    std::vector<std::weak_ptr<answer_stream>> open;
+    std::vector<std::weak_ptr<response_stream>> open;
     scheduler batch;
     http::server server;
 };
--- a/src/stand_in/fault_registry.cpp
+++ b/src/stand_in/fault_registry.cpp
@@ -17,12 +17,12 @@
 
 } // namespace
 
-ordered_fault parse_fault(nlohmann::json const& body,
+fault_command parse_fault(nlohmann::json const& body,
                           std::vector<std::string> const& known,
                           std::vector<config::fault>& faults)
 {
     config::json_reader reader{body, "", faults};
-    ordered_fault fault;
+    fault_command fault;
     fault.kind = reader.text("kind");
     if (std::find(known.begin(), known.end(), fault.kind) == known.end())
     {
@@ -41,11 +41,11 @@
     return fault;
 }
 
-fault_board::fault_board(clock time) : time{std::move(time)}
+fault_registry::fault_registry(clock time) : time{std::move(time)}
 {
 }
 
-void fault_board::add(ordered_fault fault)
+void fault_registry::add(fault_command fault)
 {
     std::lock_guard const lock{this->mutex};
     // The span of a delay is its length, not its active time.
@@ -56,38 +56,38 @@
     this->active.push_back(std::move(fault));
 }
 
-void fault_board::clear()
+void fault_registry::clear()
 {
     std::lock_guard const lock{this->mutex};
     this->active.clear();
     ++this->clear_count;
 }
 
-std::optional<ordered_fault> fault_board::take(std::string_view kind)
+std::optional<fault_command> fault_registry::take(std::string_view kind)
 {
     return this->find(kind, true);
 }
 
-std::optional<ordered_fault> fault_board::look(std::string_view kind)
+std::optional<fault_command> fault_registry::peek(std::string_view kind)
 {
     return this->find(kind, false);
 }
 
-std::uint64_t fault_board::generation() const
+std::uint64_t fault_registry::generation() const
 {
     std::lock_guard const lock{this->mutex};
     return this->clear_count;
 }
 
-std::optional<ordered_fault> fault_board::find(std::string_view kind,
-                                               bool consume)
+std::optional<fault_command> fault_registry::find(std::string_view kind,
+                                                  bool consume)
 {
     std::lock_guard const lock{this->mutex};
     auto const now = this->time.now();
-    std::erase_if(this->active, [now](ordered_fault const& fault)
+    std::erase_if(this->active, [now](fault_command const& fault)
                   { return fault.ends && *fault.ends <= now; });
     auto const found = std::find_if(this->active.begin(), this->active.end(),
-                                    [kind](ordered_fault const& fault)
+                                    [kind](fault_command const& fault)
                                     { return fault.kind == kind; });
     if (found == this->active.end())
     {
--- a/src/stand_in/fault_registry.hpp
+++ b/src/stand_in/fault_registry.hpp
@@ -15,7 +15,7 @@
 {
 
 /// A fault injected through `POST /faults`. Immutable value.
-struct ordered_fault
+struct fault_command
 {
     std::string kind;
     duration span{};               ///< active time or delay; 0: no end
@@ -24,44 +24,44 @@
     std::int64_t factor{1};        ///< slowdown of the engine
     std::optional<instant> ends{}; ///< computed from `span`
 
-    friend bool operator==(ordered_fault const&,
-                           ordered_fault const&) = default;
+    friend bool operator==(fault_command const&,
+                           fault_command const&) = default;
 };
 
 /// Reads and checks the body of `POST /faults`; `known` lists the kinds that
 /// this emulator supports. Adds errors in the body to `faults`. Thread safe.
-ordered_fault parse_fault(nlohmann::json const& body,
+fault_command parse_fault(nlohmann::json const& body,
                           std::vector<std::string> const& known,
                           std::vector<config::fault>& faults);
 
 /// The active faults. Thread safe.
-class fault_board
+class fault_registry
 {
 public:
-    explicit fault_board(clock time);
+    explicit fault_registry(clock time);
 
     /// Adds a fault. For every kind but "delay", `span` limits its active time.
-    void add(ordered_fault fault);
+    void add(fault_command fault);
 
     /// Removes all faults.
     void clear();
 
     /// Returns the first active fault of this kind and decrements its count;
     /// empty if there is none.
-    std::optional<ordered_fault> take(std::string_view kind);
+    std::optional<fault_command> take(std::string_view kind);
 
     /// Returns the fault without decrementing its count.
-    std::optional<ordered_fault> look(std::string_view kind);
+    std::optional<fault_command> peek(std::string_view kind);
 
     /// Returns the number of `clear` calls, so that a waiter detects one.
     std::uint64_t generation() const;
 
 private:
-    std::optional<ordered_fault> find(std::string_view kind, bool consume);
+    std::optional<fault_command> find(std::string_view kind, bool consume);
 
     clock time;
     mutable std::mutex mutex;
-    std::vector<ordered_fault> active;
+    std::vector<fault_command> active;
     std::uint64_t clear_count{0};
 };
 
--- a/src/stand_in/prefix_cache.cpp
+++ b/src/stand_in/prefix_cache.cpp
@@ -35,7 +35,7 @@
          at += bytes_per_block)
     {
         chained.append(prompt.substr(at, bytes_per_block));
-        blocks.push_back(answer_seed(chained));
+        blocks.push_back(response_seed(chained));
         chained = std::to_string(blocks.back());
     }
     return blocks;
--- a/src/stand_in/response_stream.cpp
+++ b/src/stand_in/response_stream.cpp
@@ -33,16 +33,16 @@
 
 } // namespace
 
-answer_stream::answer_stream(std::shared_ptr<generation> source,
-                             answer_form form)
+response_stream::response_stream(std::shared_ptr<generation> source,
+                                 response_format form)
     : source{std::move(source)}, form{std::move(form)},
-      seed{answer_seed(this->source->request.prompt)},
+      seed{response_seed(this->source->request.prompt)},
       chunk_tail{without_mark(this->head("chat.completion.chunk"))},
       next{this->source->request.first}
 {
 }
 
-bool answer_stream::advance(byte_sink const& sink)
+bool response_stream::advance(byte_sink const& sink)
 {
     auto const first = this->source->request.first;
     // A response in one piece waits for the last token, a stream for the next.
@@ -79,14 +79,14 @@
     return seen.state == generation_state::running || this->send_end(sink);
 }
 
-bool answer_stream::reaches(std::atomic<std::int64_t> const& fault,
-                            std::int64_t reached) const
+bool response_stream::reaches(std::atomic<std::int64_t> const& fault,
+                              std::int64_t reached) const
 {
     auto const at = fault.load();
     return at >= 0 && reached >= at;
 }
 
-bool answer_stream::send_tokens(byte_sink const& sink, std::int64_t produced)
+bool response_stream::send_tokens(byte_sink const& sink, std::int64_t produced)
 {
     while (this->next < produced)
     {
@@ -104,7 +104,7 @@
     return true;
 }
 
-bool answer_stream::send_token(byte_sink const& sink)
+bool response_stream::send_token(byte_sink const& sink)
 {
     auto const offset = this->next++;
     auto const sent = offset - this->source->request.first;
@@ -112,7 +112,7 @@
     {
         return true;
     }
-    auto const text = answer_token(this->seed, offset);
+    auto const text = response_token(this->seed, offset);
     std::string bytes;
     if (sent == this->faults.wrong_id)
     {
@@ -127,7 +127,7 @@
     return sink.write(bytes);
 }
 
-bool answer_stream::send_end(byte_sink const& sink)
+bool response_stream::send_end(byte_sink const& sink)
 {
     if (!this->form.streamed)
     {
@@ -149,7 +149,7 @@
     return sent;
 }
 
-nlohmann::json answer_stream::head(char const* object) const
+nlohmann::json response_stream::head(char const* object) const
 {
     auto const& request = this->source->request;
     return {{"id", "chatcmpl-" + request.request},
@@ -163,8 +163,8 @@
 // Concatenates the chunk: with 1,000 open streams, serialising a JSON document
 // for each token would take most of the engine's processor time. A token
 // contains nothing that JSON escapes.
-std::string answer_stream::chunk(std::int64_t offset,
-                                 std::string const& text) const
+std::string response_stream::chunk(std::int64_t offset,
+                                   std::string const& text) const
 {
     auto const first = offset == this->source->request.first;
     std::string chunk = R"({"choices":[{"delta":{"content":")";
@@ -176,7 +176,7 @@
     return chunk;
 }
 
-std::string answer_stream::foreign_chunk(std::int64_t offset) const
+std::string response_stream::foreign_chunk(std::int64_t offset) const
 {
     auto foreign = nlohmann::json::parse(this->chunk(offset, "foreign "));
     auto const id = "not-" + this->source->request.request;
@@ -185,7 +185,7 @@
     return foreign.dump();
 }
 
-nlohmann::json answer_stream::end_chunk() const
+nlohmann::json response_stream::end_chunk() const
 {
     auto chunk = this->head("chat.completion.chunk");
     chunk["choices"] = {{{"index", 0},
@@ -195,11 +195,12 @@
     return chunk;
 }
 
-nlohmann::json answer_stream::whole() const
+nlohmann::json response_stream::whole() const
 {
     auto const& request = this->source->request;
     auto whole = this->head("chat.completion");
-    auto const text = answer_text(request.prompt, request.first, request.last);
+    auto const text =
+        response_text(request.prompt, request.first, request.last);
     whole["choices"] = {
         {{"index", 0},
          {"message", {{"role", "assistant"}, {"content", text}}},
@@ -213,7 +214,7 @@
     return whole;
 }
 
-nlohmann::json answer_stream::usage() const
+nlohmann::json response_stream::usage() const
 {
     auto const prompt = prompt_tokens(this->source->request.prompt);
     // Counts from token 0 even if resumed: the price of the complete response.
--- a/src/stand_in/response_stream.hpp
+++ b/src/stand_in/response_stream.hpp
@@ -26,7 +26,7 @@
 };
 
 /// Options of a response besides its tokens. Immutable value.
-struct answer_form
+struct response_format
 {
     std::string model;
     std::int64_t created{}; ///< seconds since the Unix epoch
@@ -34,7 +34,8 @@
     bool include_usage{false};
     std::string finish_reason{"stop"};
 
-    friend bool operator==(answer_form const&, answer_form const&) = default;
+    friend bool operator==(response_format const&,
+                           response_format const&) = default;
 };
 
 /// Functions through which a stream writes to a connection.
@@ -48,10 +49,10 @@
 
 /// Writes one generation to one connection as an OpenAI response. Only one
 /// thread may call `advance`; any thread may set the atomic `faults`.
-class answer_stream
+class response_stream
 {
 public:
-    answer_stream(std::shared_ptr<generation> source, answer_form form);
+    response_stream(std::shared_ptr<generation> source, response_format form);
 
     /// Waits up to 100 ms for tokens and writes those available. Returns false
     /// if the connection must be closed without ending the response.
@@ -73,7 +74,7 @@
     nlohmann::json head(char const* object) const;
 
     std::shared_ptr<generation> const source;
-    answer_form const form;
+    response_format const form;
     std::uint64_t const seed;
     std::string const chunk_tail; // common end of all chunks
     std::int64_t next;
--- a/src/stand_in/response_text.cpp
+++ b/src/stand_in/response_text.cpp
@@ -87,28 +87,28 @@
     return (bytes + bytes_per_token - 1) / bytes_per_token;
 }
 
-std::int64_t answer_length(std::string_view prompt)
+std::int64_t response_length(std::string_view prompt)
 {
     auto const requested = requested_length(prompt);
     if (requested >= 0)
     {
         return requested;
     }
-    return 1 +
-           static_cast<std::int64_t>(answer_seed(prompt) % max_response_tokens);
+    return 1 + static_cast<std::int64_t>(response_seed(prompt) %
+                                         max_response_tokens);
 }
 
-std::uint64_t answer_seed(std::string_view prompt)
+std::uint64_t response_seed(std::string_view prompt)
 {
     return XXH3_64bits(prompt.data(), prompt.size());
 }
 
-std::string answer_token(std::string_view prompt, std::int64_t index)
+std::string response_token(std::string_view prompt, std::int64_t index)
 {
-    return answer_token(answer_seed(prompt), index);
+    return response_token(response_seed(prompt), index);
 }
 
-std::string answer_token(std::uint64_t seed, std::int64_t index)
+std::string response_token(std::uint64_t seed, std::int64_t index)
 {
     auto const hash = XXH3_64bits_withSeed(&index, sizeof(index), seed);
     std::array<char, 16> text{};
@@ -118,14 +118,14 @@
     return {text.data(), static_cast<std::size_t>(size)};
 }
 
-std::string answer_text(std::string_view prompt, std::int64_t first,
-                        std::int64_t last)
+std::string response_text(std::string_view prompt, std::int64_t first,
+                          std::int64_t last)
 {
-    auto const seed = answer_seed(prompt);
+    auto const seed = response_seed(prompt);
     std::string text;
     for (auto index = first; index < last; ++index)
     {
-        text += answer_token(seed, index);
+        text += response_token(seed, index);
     }
     return text;
 }
--- a/src/stand_in/response_text.hpp
+++ b/src/stand_in/response_text.hpp
@@ -24,22 +24,22 @@
 /// Returns the number of tokens of the complete response: from 1 to 471 by the
 /// prompt's hash (236 on average), or exactly N if the prompt contains
 /// "[tokens=N]" with one to six digits.
-std::int64_t answer_length(std::string_view prompt);
+std::int64_t response_length(std::string_view prompt);
 
 /// Returns token `index` of the response, counted from 0: "w", six hexadecimal
 /// digits and a space.
-std::string answer_token(std::string_view prompt, std::int64_t index);
+std::string response_token(std::string_view prompt, std::int64_t index);
 
 /// Returns the hash of the prompt that determines all tokens; avoids hashing a
 /// long prompt for every token.
-std::uint64_t answer_seed(std::string_view prompt);
+std::uint64_t response_seed(std::string_view prompt);
 
-/// As above. @pre `seed` was returned by `answer_seed`.
-std::string answer_token(std::uint64_t seed, std::int64_t index);
+/// As above. @pre `seed` was returned by `response_seed`.
+std::string response_token(std::uint64_t seed, std::int64_t index);
 
 /// Returns tokens `first` to `last - 1` as one string.
-std::string answer_text(std::string_view prompt, std::int64_t first,
-                        std::int64_t last);
+std::string response_text(std::string_view prompt, std::int64_t first,
+                          std::int64_t last);
 
 } // namespace caperpath::stand_in
 
--- a/src/stand_in/service.cpp
+++ b/src/stand_in/service.cpp
@@ -81,15 +81,15 @@
     add_outage(this->server, this->faults, {"/faults", "/executions"});
     add_fault_routes(this->server, this->faults,
                      {"delay", "error", "outage", "silent", "drop_answer"},
-                     [this](ordered_fault const& fault)
+                     [this](fault_command const& fault)
                      { this->faults.add(fault); });
-    add_order_route(this->server, this->orders,
-                    [this]
-                    {
-                        this->history.update(
-                            [this](load_sample& sample)
-                            { sample.leaving = this->orders.leaving(); });
-                    });
+    add_command_route(this->server, this->orders,
+                      [this]
+                      {
+                          this->history.update(
+                              [this](load_sample& sample)
+                              { sample.leaving = this->orders.leaving(); });
+                      });
     this->server.Get("/executions", [this](Request const&, Response& response)
                      { reply_json(response, 200, this->executions.all()); });
     this->server.Get("/load", [this](Request const&, Response& response)
@@ -126,8 +126,8 @@
 
 bool service::reject(httplib::Response& response)
 {
-    return refused_by_order(this->faults, this->orders, this->stopping,
-                            response);
+    return rejected_by_fault_or_drain(this->faults, this->orders,
+                                      this->stopping, response);
 }
 
 void service::run(httplib::Request const& request, httplib::Response& response)
--- a/src/stand_in/service.hpp
+++ b/src/stand_in/service.hpp
@@ -66,8 +66,8 @@
     void load(httplib::Response& response) const;
 
     service_settings const settings;
-    fault_board faults;
-    order_desk orders;
+    fault_registry faults;
+    command_handler orders;
     load_history history;
     run_counter executions;
     stop_signal stopping;
--- a/src/store/http_port.cpp
+++ b/src/store/http_port.cpp
@@ -37,7 +37,7 @@
     return request;
 }
 
-std::optional<wire::refusal> rejection_of(exchange const& done)
+std::optional<wire::rejection> rejection_of(exchange const& done)
 {
     if (done.state != exchange_state::complete ||
         done.status < first_failure_status)
@@ -49,8 +49,8 @@
     // counts; otherwise a caller would treat a written bill as rejected and
     // write it again.
     auto const decoded =
-        value_or_error([&] { return wire::decode_refusal(done.body); });
-    auto const* why = std::get_if<wire::refusal>(&decoded);
+        value_or_error([&] { return wire::decode_rejection(done.body); });
+    auto const* why = std::get_if<wire::rejection>(&decoded);
     return why == nullptr ? std::nullopt : std::optional{*why};
 }
 
@@ -83,12 +83,12 @@
     }
     if (auto const why = rejection_of(done))
     {
-        return {commit_outcome::refused,
+        return {commit_outcome::rejected,
                 why->failed,
                 {why->kind, step, peer, why->detail}};
     }
     auto const outcome = done.state == exchange_state::unsent
-                             ? commit_outcome::refused
+                             ? commit_outcome::rejected
                              : commit_outcome::unknown;
     return {outcome, {}, failure_of(done, step, peer)};
 }
@@ -99,7 +99,7 @@
     auto const body = value_or_error([&] { return wire::encode(txn); });
     if (auto const* fault = std::get_if<error>(&body))
     {
-        return {commit_outcome::refused,
+        return {commit_outcome::rejected,
                 {},
                 {fault->kind, step, pool.peer(), fault->detail}};
     }
--- a/src/store/memory_table.cpp
+++ b/src/store/memory_table.cpp
@@ -30,10 +30,10 @@
     switch (fault)
     {
     case injected_fault::outage:
-        return {commit_outcome::refused, {}, injected_error(fault, step)};
+        return {commit_outcome::rejected, {}, injected_error(fault, step)};
     case injected_fault::lost_call:
         return {commit_outcome::unknown, {}, injected_error(fault, step)};
-    case injected_fault::lost_answer:
+    case injected_fault::lost_response:
         write();
         return {commit_outcome::unknown, {}, injected_error(fault, step)};
     case injected_fault::none:
@@ -72,7 +72,7 @@
     }
     if (!outcome.failed.empty())
     {
-        outcome.outcome = commit_outcome::refused;
+        outcome.outcome = commit_outcome::rejected;
         outcome.fault = {error_kind::conflict, "commit", "table",
                          "condition on " + outcome.failed.front().key};
         return outcome;
@@ -131,7 +131,7 @@
     auto const [position, inserted] = this->objects.emplace(name, content);
     if (!inserted && position->second != content)
     {
-        return {commit_outcome::refused,
+        return {commit_outcome::rejected,
                 {},
                 {error_kind::conflict, "put object", "object store", name}};
     }
--- a/src/store/store_emulator.cpp
+++ b/src/store/store_emulator.cpp
@@ -51,10 +51,10 @@
 
 } // namespace
 
-class stand_in::implementation
+class store_emulator::implementation
 {
 public:
-    implementation(stand_in_settings const& settings,
+    implementation(store_emulator_settings const& settings,
                    caperpath::clock const& now)
         : settings{settings}, now{now}, write_limit{settings.writes_per_second,
                                                     now.now()},
@@ -333,7 +333,7 @@
         out.set_content(wire::encode_applied(), json_type);
     }
 
-    stand_in_settings const settings;
+    store_emulator_settings const settings;
     caperpath::clock const now;
     memory_table table;
     http::fault_plan faults{vocabulary};
@@ -347,23 +347,23 @@
     http::server server{server_limits()};
 };
 
-stand_in::stand_in(stand_in_settings const& settings,
-                   caperpath::clock const& now)
+store_emulator::store_emulator(store_emulator_settings const& settings,
+                               caperpath::clock const& now)
     : self{std::make_unique<implementation>(settings, now)}
 {
 }
 
-stand_in::~stand_in()
+store_emulator::~store_emulator()
 {
     this->stop();
 }
 
-std::string stand_in::start()
+std::string store_emulator::start()
 {
     return this->self->start();
 }
 
-void stand_in::stop()
+void store_emulator::stop()
 {
     this->self->stop();
 }
--- a/src/store/store_emulator.hpp
+++ b/src/store/store_emulator.hpp
@@ -16,7 +16,7 @@
 {
 
 /// Settings of `caperpath-platform`. Immutable value.
-struct stand_in_settings
+struct store_emulator_settings
 {
     std::string listen{"127.0.0.1:0"}; ///< "IP:port"; port 0: any free port
     std::int64_t writes_per_second{300};
@@ -24,13 +24,14 @@
     duration list_lag{}; ///< age of the VM list that callers see
     std::vector<listed_vm> vms;
 
-    friend bool operator==(stand_in_settings const&,
-                           stand_in_settings const&) = default;
+    friend bool operator==(store_emulator_settings const&,
+                           store_emulator_settings const&) = default;
 };
 
 /// Reads the settings and adds every fault of `value`. Thread safe.
-stand_in_settings read_stand_in_settings(nlohmann::json const& value,
-                                         std::vector<config::fault>& faults);
+store_emulator_settings
+read_store_emulator_settings(nlohmann::json const& value,
+                             std::vector<config::fault>& faults);
 
 /// An emulator of the platform for trials and tests. It serves a `memory_table`
 /// as described in wire.hpp, and also
@@ -42,16 +43,16 @@
 ///     GET    /stats      counts writes, reads, rows written, rate rejections
 ///
 /// Not thread safe itself; the calls that it serves are.
-class stand_in
+class store_emulator
 {
 public:
     /// `now` is the clock of the rate limits, the outages and the list's lag.
-    explicit stand_in(stand_in_settings const& settings,
-                      caperpath::clock const& now = clock::monotonic());
-    ~stand_in();
+    explicit store_emulator(store_emulator_settings const& settings,
+                            caperpath::clock const& now = clock::monotonic());
+    ~store_emulator();
 
-    stand_in(stand_in const&) = delete;
-    stand_in& operator=(stand_in const&) = delete;
+    store_emulator(store_emulator const&) = delete;
+    store_emulator& operator=(store_emulator const&) = delete;
 
     /// Starts serving on its own threads. Returns "IP:port" as bound, or an
     /// empty string if the address cannot be bound.
--- a/src/store/store_emulator_response.cpp
+++ b/src/store/store_emulator_response.cpp
@@ -9,7 +9,7 @@
 {
 
 void write_rejection(httplib::Response& response, int status,
-                     wire::refusal const& why)
+                     wire::rejection const& why)
 {
     response.status = status;
     response.set_content(wire::encode(why), json_type);
--- a/src/store/store_emulator_response.hpp
+++ b/src/store/store_emulator_response.hpp
@@ -25,7 +25,7 @@
 void write_rejection(httplib::Response& response,
                      std::vector<config::fault> const& faults);
 
-/// @pre `outcome` is applied or refused.
+/// @pre `outcome` is applied or rejected.
 void write_response(httplib::Response& response, commit_result const& outcome);
 
 /// Calls `use` with the decoded body, or responds that the body is invalid.
--- a/src/store/store_emulator_settings.cpp
+++ b/src/store/store_emulator_settings.cpp
@@ -13,12 +13,13 @@
 
 } // namespace
 
-stand_in_settings read_stand_in_settings(nlohmann::json const& value,
-                                         std::vector<config::fault>& faults)
+store_emulator_settings
+read_store_emulator_settings(nlohmann::json const& value,
+                             std::vector<config::fault>& faults)
 {
     config::json_reader reader{value, "", faults};
-    stand_in_settings const defaults;
-    stand_in_settings settings;
+    store_emulator_settings const defaults;
+    store_emulator_settings settings;
     settings.listen = reader.listen_address("listen");
     settings.writes_per_second =
         reader.integer_or("writes_per_second", "writes a second", 1, max_rate,
--- a/src/store/wire_response.cpp
+++ b/src/store/wire_response.cpp
@@ -71,10 +71,10 @@
     return read_rows(reader, "rows", faults);
 }
 
-refusal read_rejection(json const& value, faults_found& faults)
+rejection read_rejection(json const& value, faults_found& faults)
 {
     json_reader reader{value, "", faults};
-    refusal why;
+    rejection why;
     if (reader.text("effect") != "none")
     {
         reader.reject("effect", "expected \"none\"");
@@ -160,7 +160,7 @@
     return body == encode_applied();
 }
 
-std::string encode(refusal const& why)
+std::string encode(rejection const& why)
 {
     return dump_response({{"effect", "none"},
                           {"kind", to_string(why.kind)},
@@ -168,7 +168,7 @@
                           {"failed", to_json(why.failed)}});
 }
 
-result<refusal> decode_refusal(std::string const& body)
+result<rejection> decode_rejection(std::string const& body)
 {
     return decode(body, read_rejection);
 }
--- a/tests/budget/fleet_simulation.hpp
+++ b/tests/budget/fleet_simulation.hpp
@@ -181,7 +181,7 @@
         switch (fault)
         {
         case call_fault::outage:
-            return {store::commit_outcome::refused, {}, {}};
+            return {store::commit_outcome::rejected, {}, {}};
         case call_fault::lost_call:
             return unknown;
         case call_fault::delayed:
--- a/tests/budget/kept_bill_test.cpp
+++ b/tests/budget/kept_bill_test.cpp
@@ -130,7 +130,8 @@
     {
         scenario here;
         here.recovered();
-        CPPUNIT_ASSERT(here.store_response() == store::commit_outcome::refused);
+        CPPUNIT_ASSERT(here.store_response() ==
+                       store::commit_outcome::rejected);
         here.settle();
         auto const found = audit_of(*here.table, name);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, found.billed);
--- a/tests/budget/top_up_test.cpp
+++ b/tests/budget/top_up_test.cpp
@@ -25,7 +25,7 @@
             [&written](std::string const& step)
             {
                 auto const down = std::exchange(written, step == "commit");
-                return step == "commit" ? injected_fault::lost_answer
+                return step == "commit" ? injected_fault::lost_response
                        : down           ? injected_fault::outage
                                         : injected_fault::none;
             });
--- a/tests/config/store_test.cpp
+++ b/tests/config/store_test.cpp
@@ -37,7 +37,7 @@
             return injected_fault::lost_call;
         }
         return drawn < outage + lost_call + lost_answer
-                   ? injected_fault::lost_answer
+                   ? injected_fault::lost_response
                    : injected_fault::none;
     };
 }
--- a/tests/controllers/budget_controller_test.cpp
+++ b/tests/controllers/budget_controller_test.cpp
@@ -103,7 +103,7 @@
             [calls](std::string const& step)
             {
                 auto const lost = step == "commit" && ++*calls % 7 == 0;
-                return lost ? injected_fault::lost_answer
+                return lost ? injected_fault::lost_response
                             : injected_fault::none;
             });
         auto const direct = store::make_memory_port(table);
--- a/tests/controllers/config_controller_test.cpp
+++ b/tests/controllers/config_controller_test.cpp
@@ -147,7 +147,7 @@
         CPPUNIT_ASSERT(!controller.offer(peer_document(2).first, text));
         CPPUNIT_ASSERT(!controller.offer("config/9-", "{"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3},
-                             controller.status().refused_offers);
+                             controller.status().rejected_offers);
         auto const [newer, newer_text] = peer_document(5);
         CPPUNIT_ASSERT(controller.offer(newer, newer_text));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5},
@@ -163,9 +163,9 @@
         config::command_drain(site.good, {"router-b"}, "operator", {1});
         config_controller controller{site.system, site.good, fast_polling()};
         wait_until([&] { return controller.status().polls > 1; });
-        CPPUNIT_ASSERT(!controller.drain_ordered());
+        CPPUNIT_ASSERT(!controller.drain_commanded());
         config::command_drain(site.good, {"router-a"}, "operator", {1});
-        wait_until([&] { return controller.drain_ordered(); });
+        wait_until([&] { return controller.drain_commanded(); });
     }
 };
 
--- a/tests/ctl/verbs_test.cpp
+++ b/tests/ctl/verbs_test.cpp
@@ -172,7 +172,7 @@
             auto const was_down = down;
             down = down || step == "commit";
             return was_down           ? injected_fault::outage
-                   : step == "commit" ? injected_fault::lost_answer
+                   : step == "commit" ? injected_fault::lost_response
                                       : injected_fault::none;
         };
         CPPUNIT_ASSERT_EQUAL(int{exit_unknown},
--- a/tests/fleet/readiness_test.cpp
+++ b/tests/fleet/readiness_test.cpp
@@ -71,7 +71,7 @@
     void without_a_budget_never_ready()
     {
         auto known = all_known();
-        known.knows_a_budget = false;
+        known.has_read_a_budget = false;
         known.since_configuration = duration{60'000};
         CPPUNIT_ASSERT(!may_take_callers(known));
     }
--- a/tests/gateway/crash_test.cpp
+++ b/tests/gateway/crash_test.cpp
@@ -39,9 +39,9 @@
     {
         if (is_fatal(got))
         {
-            return {{}, script::end::crash};
+            return {{}, script::ending::crash};
         }
-        return {{whole_answer(got, 200, "fine")}};
+        return {{complete_response(got, 200, "fine")}};
     }
 
     struct scenario
@@ -51,13 +51,14 @@
         {
         }
 
-        explicit scenario(fake_server::answerer const& respond = crash_if_fatal)
+        explicit scenario(
+            fake_server::responder const& respond = crash_if_fatal)
             : here{std::make_unique<fleet_site>()}
         {
             this->add_servers(respond);
         }
 
-        void add_servers(fake_server::answerer const& respond)
+        void add_servers(fake_server::responder const& respond)
         {
             this->servers.clear();
             for (int i = 0; i < fleet_size; ++i)
@@ -219,8 +220,8 @@
         scenario all;
         auto const request = fleet::fingerprint_of(
             {"taller", "GET", "site.example", "/read/fatal", ""});
-        all.here->store.put(store::own_table(crash_table), crash_key(request),
-                            encode_evidence({0, 3}));
+        all.here->store.put(store::table_for_kind(crash_table),
+                            crash_key(request), encode_evidence({0, 3}));
         CPPUNIT_ASSERT(all.here->run_until(
             [&] { return all.read("fatal").status == 429; }));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{0}, all.crashed());
@@ -247,7 +248,7 @@
     {
         scenario all{[](fake_server::request const&)
                      {
-                         return script{{}, script::end::reset};
+                         return script{{}, script::ending::reset};
                      }};
         for (int i = 0; i < fleet_size; ++i)
         {
@@ -266,9 +267,9 @@
                          if (crashes > 0)
                          {
                              crashes -= 1;
-                             return {{}, script::end::crash};
+                             return {{}, script::ending::crash};
                          }
-                         return {{whole_answer(got, 200, "fine")}};
+                         return {{complete_response(got, 200, "fine")}};
                      }};
         CPPUNIT_ASSERT_EQUAL(502, all.read("popular").status);
         CPPUNIT_ASSERT_EQUAL(200, all.read("popular").status);
@@ -286,8 +287,8 @@
                      {
                          crashes -= 1;
                          return {{},
-                                 crashes >= 0 ? script::end::crash
-                                              : script::end::silent};
+                                 crashes >= 0 ? script::ending::crash
+                                              : script::ending::silent};
                      }};
         CPPUNIT_ASSERT_EQUAL(502, all.read("same").status);
         auto const before = all.sends();
--- a/tests/gateway/crash_tracker_test.cpp
+++ b/tests/gateway/crash_tracker_test.cpp
@@ -37,7 +37,7 @@
     /// them.
     struct scenario
     {
-        using follow_reply = store::reply<store::feed_page>;
+        using follow_reply = store::result_callback<store::feed_page>;
 
         store::async_port port()
         {
@@ -51,8 +51,10 @@
                                       done(store::feed_page{{}, 1});
                                   });
             };
-            made.scan = [this](std::string const&, std::string const&,
-                               store::reply<std::vector<store::row>> const& to)
+            made.scan =
+                [this](
+                    std::string const&, std::string const&,
+                    store::result_callback<std::vector<store::row>> const& to)
             {
                 this->calls += 1;
                 boost::asio::post(this->loop,
@@ -105,7 +107,7 @@
         std::vector<duration> limits;
         std::function<void(follow_reply const&)> on_follow;
         decision_log log{loop.get_executor(), -1, "vm-1"};
-        crash_keeper keeper{loop.get_executor(), port(), salt, log};
+        crash_tracker keeper{loop.get_executor(), port(), salt, log};
     };
 
     // Guards against a fleet whose store calls are mostly for rows that hardly
@@ -170,8 +172,9 @@
         };
         site.keeper.start();
         CPPUNIT_ASSERT(site.run_until([&] { return site.waits.size() == 1; }));
-        site.keeper.store_call_missed();
-        CPPUNIT_ASSERT(site.run_until([&] { return site.keeper.knows_any(); }));
+        site.keeper.note_lost_store_call();
+        CPPUNIT_ASSERT(
+            site.run_until([&] { return site.keeper.has_evidence(); }));
         CPPUNIT_ASSERT(fleet::judge(site.keeper.evidence(fatal())) ==
                        fleet::crash_verdict::quarantined);
         // The second call asks only for known changes and does not wait for new
@@ -190,7 +193,7 @@
         CPPUNIT_ASSERT(site.run_until([&] { return site.waits.size() == 1; }));
         for (int i = 0; i < lost; ++i)
         {
-            site.keeper.store_call_missed();
+            site.keeper.note_lost_store_call();
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, site.waits.size());
     }
--- a/tests/gateway/fake_server.cpp
+++ b/tests/gateway/fake_server.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-fake_server::fake_server(boost::asio::io_context& loop, answerer respond)
+fake_server::fake_server(boost::asio::io_context& loop, responder respond)
     : loop{loop}, respond{std::move(respond)},
       acceptor{loop, {boost::asio::ip::make_address("127.0.0.1"), 0}}
 {
@@ -97,16 +97,16 @@
             co_await timer.async_wait(
                 asio::redirect_error(asio::use_awaitable, fault));
         }
-        if (reply.after == script::end::reset)
+        if (reply.after == script::ending::reset)
         {
             socket.set_option(asio::socket_base::linger{true, 0}, fault);
             socket.close(fault); // the destructor sends no reset
         }
-        if (reply.after == script::end::crash)
+        if (reply.after == script::ending::crash)
         {
             this->crash();
         }
-        if (reply.after == script::end::silent)
+        if (reply.after == script::ending::silent)
         {
             char byte{};
             co_await socket.async_read_some(
@@ -114,15 +114,16 @@
                 asio::redirect_error(asio::use_awaitable, fault));
             this->closed_by_router += fault ? 1 : 0;
         }
-        if (reply.after != script::end::keep)
+        if (reply.after != script::ending::keep)
         {
             co_return;
         }
     }
 }
 
-std::string whole_answer(fake_server::request const& to, int status,
-                         std::string const& body, std::string const& headers)
+std::string complete_response(fake_server::request const& to, int status,
+                              std::string const& body,
+                              std::string const& headers)
 {
     std::ostringstream text;
     text << "HTTP/1.1 " << status
--- a/tests/gateway/fake_server.hpp
+++ b/tests/gateway/fake_server.hpp
@@ -19,7 +19,7 @@
 struct script
 {
     std::vector<std::string> pieces; ///< raw bytes, sent a few ms apart
-    enum class end
+    enum class ending
     {
         keep,   ///< keep the connection open
         close,  ///< close the connection
@@ -27,7 +27,7 @@
         silent, ///< send no more and keep the connection open
         crash   ///< reset all connections and accept no more
     };
-    end after{end::keep};
+    ending after{ending::keep};
 };
 
 /// A backend server that responds by a script. Loop thread only.
@@ -36,9 +36,9 @@
 public:
     using request =
         boost::beast::http::request<boost::beast::http::string_body>;
-    using answerer = std::function<script(request const&)>;
+    using responder = std::function<script(request const&)>;
 
-    fake_server(boost::asio::io_context& loop, answerer respond);
+    fake_server(boost::asio::io_context& loop, responder respond);
 
     std::string address() const;
 
@@ -53,15 +53,15 @@
     boost::asio::awaitable<void> serve(std::shared_ptr<tcp::socket> socket);
 
     boost::asio::io_context& loop;
-    answerer respond;
+    responder respond;
     tcp::acceptor acceptor;
     std::vector<std::weak_ptr<tcp::socket>> open;
 };
 
 /// Returns a complete response with the headers that servers send.
-std::string whole_answer(fake_server::request const& to, int status,
-                         std::string const& body,
-                         std::string const& headers = "");
+std::string complete_response(fake_server::request const& to, int status,
+                              std::string const& body,
+                              std::string const& headers = "");
 
 /// Returns the head of a chunked stream response.
 std::string stream_head(fake_server::request const& to);
--- a/tests/gateway/fake_store.cpp
+++ b/tests/gateway/fake_store.cpp
@@ -48,7 +48,7 @@
 store::commit_result fake_store::commit(store::transaction const& txn)
 {
     store::commit_result conflict{
-        store::commit_outcome::refused, {}, no_response};
+        store::commit_outcome::rejected, {}, no_response};
     for (auto const& one : txn.conditions)
     {
         auto const found = this->rows.find(one.key);
@@ -171,7 +171,7 @@
         {
             this->writes_to_reject -= 1;
             store::commit_result const busy{
-                store::commit_outcome::refused, {}, no_response};
+                store::commit_outcome::rejected, {}, no_response};
             this->post_reply([done, busy] { done(busy); });
             return;
         }
@@ -183,8 +183,8 @@
         }
         this->post_reply([done, result] { done(result); });
     };
-    port.read =
-        [this](std::string const& key, store::reply<store::row> const& done)
+    port.read = [this](std::string const& key,
+                       store::result_callback<store::row> const& done)
     {
         auto const found = this->rows.find(key);
         auto const row =
@@ -195,8 +195,9 @@
         this->post_reply([done, row, lost]
                          { lost ? done(no_response) : done(row); });
     };
-    port.scan = [this](std::string const& first, std::string const& last,
-                       store::reply<std::vector<store::row>> const& done)
+    port.scan =
+        [this](std::string const& first, std::string const& last,
+               store::result_callback<std::vector<store::row>> const& done)
     {
         std::vector<store::row> found;
         for (auto const& [key, row] : this->rows)
@@ -213,7 +214,7 @@
                          { lost ? done(no_response) : done(found); });
     };
     port.list = [this](std::string const& table, duration,
-                       store::reply<store::feed_page> const& done)
+                       store::result_callback<store::feed_page> const& done)
     {
         auto const lost = !this->reachable;
         this->post_reply([done, page = this->list(table), lost]
@@ -221,7 +222,7 @@
     };
     port.follow = [this](std::string const& table, std::uint64_t since,
                          duration, duration,
-                         store::reply<store::feed_page> const& done)
+                         store::result_callback<store::feed_page> const& done)
     {
         if (!this->reachable)
         {
--- a/tests/gateway/fake_store.hpp
+++ b/tests/gateway/fake_store.hpp
@@ -66,7 +66,7 @@
     {
         std::string table;
         std::uint64_t since{};
-        store::reply<store::feed_page> done;
+        store::result_callback<store::feed_page> done;
     };
 
     store::commit_result commit(store::transaction const& txn);
--- a/tests/gateway/fleet_site.cpp
+++ b/tests/gateway/fleet_site.cpp
@@ -97,7 +97,7 @@
     all.grace = this->grace;
     this->router_starts += 1;
     this->router = std::make_unique<gateway_server>(
-        this->loop, all, platform::make_dialect(), this->store.port(),
+        this->loop, all, platform::make_protocol_adapter(), this->store.port(),
         incarnation_id{"vm-1-" + std::to_string(this->router_starts)},
         this->log_descriptor);
     boost::leaf::try_handle_all([this] { return this->router->start(); },
@@ -129,7 +129,7 @@
 
 fake_server& fleet_site::add_server(std::string const& id,
                                     std::string const& service,
-                                    fake_server::answerer respond)
+                                    fake_server::responder respond)
 {
     auto one = std::make_unique<fake_server>(this->loop, std::move(respond));
     this->store.put("servers", id,
--- a/tests/gateway/fleet_site.hpp
+++ b/tests/gateway/fleet_site.hpp
@@ -50,7 +50,7 @@
 
     /// Adds a server of `service` ("app" or "llm") that responds by `respond`.
     fake_server& add_server(std::string const& id, std::string const& service,
-                            fake_server::answerer respond);
+                            fake_server::responder respond);
 
     void put_configuration(std::int64_t version, std::int64_t paid = 100'000);
 
--- a/tests/gateway/heartbeat_test.cpp
+++ b/tests/gateway/heartbeat_test.cpp
@@ -34,7 +34,7 @@
         fleet_site site{true, {0, 50, {10'000}}};
         auto const respond_500 = [](fake_server::request const& got)
         {
-            return script{{whole_answer(got, 500, "failed")}};
+            return script{{complete_response(got, 500, "failed")}};
         };
         auto& first = site.add_server("i-1", "app", respond_500);
         auto& second = site.add_server("i-2", "app", respond_500);
--- a/tests/gateway/http_client_test.cpp
+++ b/tests/gateway/http_client_test.cpp
@@ -42,7 +42,7 @@
     void keepalive_probes_detect_silence_in_time()
     {
         scenario here;
-        probe_silence(here.socket, true);
+        set_keepalive_probes(here.socket, true);
         CPPUNIT_ASSERT_EQUAL(1, here.option(SOL_SOCKET, SO_KEEPALIVE));
         auto const detected_s = here.option(IPPROTO_TCP, TCP_KEEPIDLE) +
                                 here.option(IPPROTO_TCP, TCP_KEEPINTVL) *
@@ -54,8 +54,8 @@
     void keepalive_probes_can_be_disabled()
     {
         scenario here;
-        probe_silence(here.socket, true);
-        probe_silence(here.socket, false);
+        set_keepalive_probes(here.socket, true);
+        set_keepalive_probes(here.socket, false);
         CPPUNIT_ASSERT_EQUAL(0, here.option(SOL_SOCKET, SO_KEEPALIVE));
     }
 };
--- a/tests/gateway/outcome_test.cpp
+++ b/tests/gateway/outcome_test.cpp
@@ -37,7 +37,7 @@
         auto& server =
             site.add_server("i-1", "app",
                             [](request const&) {
-                                return script{{}, script::end::silent};
+                                return script{{}, script::ending::silent};
                             });
         CPPUNIT_ASSERT(site.run_until([&] { return site.readiness() == 200; }));
         return server;
@@ -45,7 +45,7 @@
 
     static script respond_done(request const& got)
     {
-        return {{whole_answer(got, 200, "done")}};
+        return {{complete_response(got, 200, "done")}};
     }
 
     // Guards against a response or request that is altered on its way, and
@@ -105,7 +105,7 @@
         auto const truncates = [](request const&)
         {
             return script{{"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf"},
-                          script::end::reset};
+                          script::ending::reset};
         };
         auto& first = site.add_server("i-1", "app", truncates);
         auto& second = site.add_server("i-2", "app", truncates);
@@ -127,8 +127,8 @@
         auto const rejects_once = [&calls](request const& got)
         {
             calls += 1;
-            return calls == 1 ? script{{whole_answer(got, 503, "",
-                                                     "Not-Executed: 1\r\n")}}
+            return calls == 1 ? script{{complete_response(
+                                    got, 503, "", "Not-Executed: 1\r\n")}}
                               : respond_done(got);
         };
         site.add_server("i-1", "app", rejects_once);
@@ -149,7 +149,7 @@
         auto const fails_once = [&runs](request const& got)
         {
             runs += 1;
-            return runs == 1 ? script{{whole_answer(got, 500, "sorry")}}
+            return runs == 1 ? script{{complete_response(got, 500, "sorry")}}
                              : respond_done(got);
         };
         site.add_server("i-1", "app", fails_once);
@@ -170,7 +170,7 @@
         {
             return script{{"HTTP/1.1 200 OK\r\nRequest-Id: old\r\n"
                            "Content-Length: 3\r\n\r\nold" +
-                           whole_answer(got, 200, "new")}};
+                           complete_response(got, 200, "new")}};
         };
         site.add_server("i-1", "app", responds_twice);
         CPPUNIT_ASSERT(site.run_until([&] { return site.readiness() == 200; }));
@@ -197,10 +197,11 @@
     {
         fleet_site site;
         site.add_server("i-1", "app",
-                        [](request const& got) {
+                        [](request const& got)
+                        {
                             return script{
                                 {head_without_length(got), "do", "ne"},
-                                script::end::close};
+                                script::ending::close};
                         });
         CPPUNIT_ASSERT(site.run_until([&] { return site.readiness() == 200; }));
         auto const got =
@@ -218,7 +219,7 @@
         site.add_server("i-1", "app",
                         [](request const& got) {
                             return script{{head_without_length(got), "do"},
-                                          script::end::reset};
+                                          script::ending::reset};
                         });
         CPPUNIT_ASSERT(site.run_until([&] { return site.readiness() == 200; }));
         CPPUNIT_ASSERT_EQUAL(
--- a/tests/gateway/shutdown_test.cpp
+++ b/tests/gateway/shutdown_test.cpp
@@ -84,7 +84,7 @@
 
     static script silent(request const&)
     {
-        return {{}, script::end::silent};
+        return {{}, script::ending::silent};
     }
 
     /// Its response takes longer than a grace time of 800 ms.
@@ -127,7 +127,7 @@
             {
                 return script{
                     {stream_head(got), chunk_of("id: 1\ndata: t\n\n")},
-                    script::end::silent};
+                    script::ending::silent};
             });
         here.wait_ready();
         auto caller =
@@ -168,7 +168,7 @@
         here.site.add_server(
             "i-1", "app",
             [](request const& got)
-            { return script{{whole_answer(got, 200, "done")}}; });
+            { return script{{complete_response(got, 200, "done")}}; });
         here.wait_ready();
         auto const order = [&]
         {
@@ -246,13 +246,13 @@
         here.site.router->stop();
         std::this_thread::sleep_for(std::chrono::milliseconds{900});
         CPPUNIT_ASSERT(here.site.router->stopped());
-        here.site.router->answer_overdue();
+        here.site.router->reject_open_requests();
         CPPUNIT_ASSERT_EQUAL(504, caller->received().status);
     }
 
     static script respond_large(request const& got)
     {
-        return {{whole_answer(got, 200, std::string(large_size, 'x'))}};
+        return {{complete_response(got, 200, std::string(large_size, 'x'))}};
     }
 
     /// Reads the response to `caller` in small steps until it ends or the
@@ -314,7 +314,7 @@
         std::this_thread::sleep_for(std::chrono::milliseconds{1'500});
         here.site.router->stop();
         CPPUNIT_ASSERT(here.site.router->stopped());
-        here.site.router->answer_overdue();
+        here.site.router->reject_open_requests();
         CPPUNIT_ASSERT_EQUAL(504, caller->received().status);
     }
 
@@ -354,8 +354,9 @@
             "i-1", "app",
             [&must_fail](request const& got)
             {
-                return must_fail ? script{{whole_answer(got, 500, "sorry")}}
-                                 : respond_slowly(got);
+                return must_fail
+                           ? script{{complete_response(got, 500, "sorry")}}
+                           : respond_slowly(got);
             });
         here.wait_ready();
         auto const order = [&here]
--- a/tests/gateway/spend_row_writer_test.cpp
+++ b/tests/gateway/spend_row_writer_test.cpp
@@ -29,7 +29,7 @@
         int null_device{open("/dev/null", O_WRONLY | O_CLOEXEC)};
         decision_log log{loop.get_executor(), null_device, "vm-1"};
         std::vector<commit_reply> writes;
-        spend_keeper writer{
+        spend_row_writer writer{
             loop.get_executor(),
             port(),
             "vm-1",
@@ -60,8 +60,8 @@
         store::async_port port()
         {
             store::async_port made;
-            made.read =
-                [](std::string const& key, store::reply<store::row> const& done)
+            made.read = [](std::string const& key,
+                           store::result_callback<store::row> const& done)
             {
                 done(store::row{key, 0, ""});
             };
@@ -92,7 +92,7 @@
         writer_fixture fixture;
         fixture.writer.write_soon();
         auto const before = fixture.writes.size();
-        fixture.complete_last(store::commit_outcome::refused);
+        fixture.complete_last(store::commit_outcome::rejected);
         for (int i = 0; i < 25; ++i)
         {
             fixture.writer.write_soon();
--- a/tests/gateway/stream_test.cpp
+++ b/tests/gateway/stream_test.cpp
@@ -80,7 +80,7 @@
                         {
                             return script{{stream_head(got), chunk_of(event(1)),
                                            "20\r\nid: 2"},
-                                          script::end::reset};
+                                          script::ending::reset};
                         });
         wait_ready(site);
         auto const got = site.send(fleet_site::prompt("/chat/1", 500, 20));
@@ -103,7 +103,7 @@
                             {
                                 return script{{stream_head(got),
                                                chunk_of(large), "20\r\nid: 2"},
-                                              script::end::reset};
+                                              script::ending::reset};
                             });
         wait_ready(site);
         standalone_client caller{site.callers_port(), small_buffer};
@@ -135,7 +135,7 @@
             {
                 return script{{stream_head(got), chunk_of(event(1)),
                                chunk_of(event(2) + "id: 3\nda")},
-                              script::end::reset};
+                              script::ending::reset};
             }
             resumed_after = std::string{got["Last-Event-Id"]};
             return script{{stream_head(got), chunk_of(event(3)), chunk_of("")}};
--- a/tests/gateway/table_follower_test.cpp
+++ b/tests/gateway/table_follower_test.cpp
@@ -46,7 +46,7 @@
     slow_response(fake_server::request const& to, std::string const& text)
     {
         auto const padding = std::string(piece_size * many_pieces, ' ');
-        auto const bytes = whole_answer(to, 200, text + padding);
+        auto const bytes = complete_response(to, 200, text + padding);
         std::vector<std::string> pieces;
         for (std::size_t at = 0; at < bytes.size(); at += piece_size)
         {
@@ -58,7 +58,7 @@
     /// A store and a router's follower of one of its tables.
     struct scenario
     {
-        explicit scenario(fake_server::answerer respond)
+        explicit scenario(fake_server::responder respond)
             : server{loop, std::move(respond)}
         {
             this->follower.start();
@@ -99,7 +99,7 @@
         table_follower follower{
             loop.get_executor(),
             platform::make_store_port(
-                std::make_shared<http_caller>(loop.get_executor(),
+                std::make_shared<http_client>(loop.get_executor(),
                                               server.address()),
                 server.address(), call_timeout),
             "table",
@@ -121,20 +121,20 @@
     void a_change_on_a_slow_link_is_not_read_again()
     {
         auto change_sent = false;
-        scenario here{[&change_sent](fake_server::request const& got) -> script
-                      {
-                          if (is_list(got))
-                          {
-                              return {
-                                  {whole_answer(got, 200, page("first", 1))}};
-                          }
-                          if (change_sent)
-                          {
-                              return {{}, script::end::silent};
-                          }
-                          change_sent = true;
-                          return {slow_response(got, page("second", 2))};
-                      }};
+        scenario here{
+            [&change_sent](fake_server::request const& got) -> script
+            {
+                if (is_list(got))
+                {
+                    return {{complete_response(got, 200, page("first", 1))}};
+                }
+                if (change_sent)
+                {
+                    return {{}, script::ending::silent};
+                }
+                change_sent = true;
+                return {slow_response(got, page("second", 2))};
+            }};
         CPPUNIT_ASSERT(here.run_until_seen("second"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1}, here.lists());
     }
@@ -147,7 +147,7 @@
                       {
                           if (!is_list(got))
                           {
-                              return {{}, script::end::silent};
+                              return {{}, script::ending::silent};
                           }
                           return {slow_response(got, page("first", 1))};
                       }};
@@ -166,12 +166,12 @@
             {
                 if (!is_list(got))
                 {
-                    return script{{}, script::end::silent};
+                    return script{{}, script::ending::silent};
                 }
                 *lists += 1;
-                return *lists == 1
-                           ? script{truncated, script::end::silent}
-                           : script{{whole_answer(got, 200, page("first", 1))}};
+                return *lists == 1 ? script{truncated, script::ending::silent}
+                                   : script{{complete_response(
+                                         got, 200, page("first", 1))}};
             }};
     }
 
@@ -207,7 +207,8 @@
             {
                 if (is_list(got))
                 {
-                    return script{{whole_answer(got, 200, page("first", 1))}};
+                    return script{
+                        {complete_response(got, 200, page("first", 1))}};
                 }
                 *calls += 1;
                 if (*calls <= failures)
@@ -216,9 +217,10 @@
                 }
                 if (*calls == failures + 1)
                 {
-                    return script{{whole_answer(got, 200, page("second", 2))}};
+                    return script{
+                        {complete_response(got, 200, page("second", 2))}};
                 }
-                return script{{}, script::end::silent};
+                return script{{}, script::ending::silent};
             }};
     }
 
@@ -226,7 +228,7 @@
     // reading the whole table again: a large table would fill their uplinks.
     void a_lost_call_does_not_read_the_table_again()
     {
-        auto here = with_failed_follows(1, {{}, script::end::reset});
+        auto here = with_failed_follows(1, {{}, script::ending::reset});
         CPPUNIT_ASSERT(here.run_until_seen("second"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1}, here.lists());
     }
@@ -245,7 +247,7 @@
     // the store.
     void an_outage_reads_the_table_again()
     {
-        auto here = with_failed_follows(2, {{}, script::end::reset});
+        auto here = with_failed_follows(2, {{}, script::ending::reset});
         CPPUNIT_ASSERT(here.run_until_seen("second"));
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{2}, here.lists());
     }
@@ -260,7 +262,7 @@
             {
                 if (is_list(got))
                 {
-                    return {{whole_answer(got, 200, page("newest", 9))}};
+                    return {{complete_response(got, 200, page("newest", 9))}};
                 }
                 std::string const one =
                     R"({"key":"old","part":"","data":"","schema-version":2})";
@@ -284,10 +286,11 @@
             {
                 if (is_list(got))
                 {
-                    return {{whole_answer(got, 200, page("first", 1))}};
+                    return {{complete_response(got, 200, page("first", 1))}};
                 }
                 std::vector<std::string> pieces(pauses);
-                pieces.push_back(whole_answer(got, 200, page("second", 2)));
+                pieces.push_back(
+                    complete_response(got, 200, page("second", 2)));
                 return {pieces};
             }};
         CPPUNIT_ASSERT(here.run_until_seen("second"));
--- a/tests/gateway/uplink_test.cpp
+++ b/tests/gateway/uplink_test.cpp
@@ -143,7 +143,7 @@
         scenario here;
         auto const respond_done = [](fake_server::request const& got)
         {
-            return script{{whole_answer(got, 200, "done")}};
+            return script{{complete_response(got, 200, "done")}};
         };
         here.site.add_server("i-1", "app", respond_done);
         CPPUNIT_ASSERT(here.reaches_readiness(200, change_timeout));
--- a/tests/load/response_reader_test.cpp
+++ b/tests/load/response_reader_test.cpp
@@ -28,7 +28,7 @@
     tokens.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i)
     {
-        tokens.push_back(stand_in::answer_token(prompt + "\n", i));
+        tokens.push_back(stand_in::response_token(prompt + "\n", i));
     }
     return tokens;
 }
@@ -46,11 +46,11 @@
     return text + "data: [DONE]\n\n";
 }
 
-chat_answer read(std::string const& bytes)
+received_response read(std::string const& bytes)
 {
     stream_reader reader;
     reader.feed(bytes, 1);
-    return reader.answer();
+    return reader.response();
 }
 
 std::string make_prompt(std::string const& words, int tokens)
@@ -84,8 +84,8 @@
                     reader.feed(bytes.substr(at, size), 1);
                     at += size;
                 }
-                RC_ASSERT(reader.answer() == read(bytes));
-                RC_ASSERT(check_response(prompt, count, reader.answer()) ==
+                RC_ASSERT(reader.response() == read(bytes));
+                RC_ASSERT(check_response(prompt, count, reader.response()) ==
                           verdict::complete);
             }));
     }
--- a/tests/observe/metrics_test.cpp
+++ b/tests/observe/metrics_test.cpp
@@ -47,7 +47,7 @@
         metrics counted;
         for (int i = 0; i < 1'000; ++i)
         {
-            counted.refused("code-" + std::to_string(i));
+            counted.request_rejected("code-" + std::to_string(i));
         }
         auto const page = counted.render();
         auto const lines = std::count(page.begin(), page.end(), '\n');
--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -32,7 +32,7 @@
         head.set("Last-Event-Id", "4");
         auto const facts = platform::read_request(head);
         CPPUNIT_ASSERT_EQUAL(std::string{"9c41"}, facts.id);
-        CPPUNIT_ASSERT(facts.patience == duration{1'500});
+        CPPUNIT_ASSERT(facts.timeout == duration{1'500});
         CPPUNIT_ASSERT_EQUAL(std::string{"abc"}, facts.key);
         CPPUNIT_ASSERT_EQUAL(token_count{1'460}, facts.prompt_tokens);
         CPPUNIT_ASSERT_EQUAL(token_count{80}, facts.output_tokens);
@@ -56,7 +56,7 @@
         head.set("Token-Count", "-5,80");
         head.set("Prefix-Hash", "nonsense");
         auto const facts = platform::read_request(head);
-        CPPUNIT_ASSERT(!facts.patience);
+        CPPUNIT_ASSERT(!facts.timeout);
         CPPUNIT_ASSERT(facts.key.empty());
         CPPUNIT_ASSERT_EQUAL(token_count{0}, facts.prompt_tokens);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, facts.shared_part);
--- a/tests/platform/store_port_test.cpp
+++ b/tests/platform/store_port_test.cpp
@@ -33,7 +33,7 @@
                                return this->respond(got);
                            }};
         store::async_port port{platform::make_store_port(
-            std::make_shared<gateway::http_caller>(loop.get_executor(),
+            std::make_shared<gateway::http_client>(loop.get_executor(),
                                                    server.address()),
             server.address(), duration{1'000})};
 
@@ -42,11 +42,12 @@
             this->calls += 1;
             if (this->calls > this->responses_left)
             {
-                return {{gateway::whole_answer(got, 503, "{}")}};
+                return {{gateway::complete_response(got, 503, "{}")}};
             }
             if (!this->fixed_body.empty())
             {
-                return {{gateway::whole_answer(got, 200, this->fixed_body)}};
+                return {
+                    {gateway::complete_response(got, 200, this->fixed_body)}};
             }
             std::string const target{got.target()};
             std::string const keys = "abcde";
@@ -62,7 +63,7 @@
                         R"(","part":"","data":"","schema-version":1})";
             }
             auto const more = from + 2 < keys.size() ? "true" : "false";
-            return {{gateway::whole_answer(
+            return {{gateway::complete_response(
                 got, 200,
                 R"({"rows":[)" + rows + R"(],"has-more":)" + more +
                     R"(,"schema-version":)" + std::to_string(10 + this->calls) +
--- a/tests/request/claim_simulation.cpp
+++ b/tests/request/claim_simulation.cpp
@@ -252,7 +252,7 @@
 {
     this->pass(router);
     store::commit_result refused{
-        commit_outcome::refused,
+        commit_outcome::rejected,
         {},
         {error_kind::unavailable, "commit", "table", "injected"}};
     store::commit_result unknown{
--- a/tests/router/caller.cpp
+++ b/tests/router/caller.cpp
@@ -178,8 +178,8 @@
 {
     auto const text = stand_in::prompt_text(
         nlohmann::json::array({{{"role", "user"}, {"content", prompt}}}));
-    auto const length = std::min(stand_in::answer_length(text), most);
-    return stand_in::answer_text(text, 0, length);
+    auto const length = std::min(stand_in::response_length(text), most);
+    return stand_in::response_text(text, 0, length);
 }
 
 } // namespace caperpath::tests
--- a/tests/router/site.cpp
+++ b/tests/router/site.cpp
@@ -72,10 +72,10 @@
       second_key{config::make_key({"technicians"},
                                   std::string(config::secret_bytes, 'b'))}
 {
-    store::stand_in_settings given;
+    store::store_emulator_settings given;
     given.writes_per_second = 10'000;
     given.reads_per_second = 10'000;
-    this->table = std::make_unique<store::stand_in>(given);
+    this->table = std::make_unique<store::store_emulator>(given);
     this->table_address = this->table->start();
     this->port = store::make_http_port({.address = this->table_address});
     this->start_backends(engine);
--- a/tests/router/site.hpp
+++ b/tests/router/site.hpp
@@ -97,7 +97,7 @@
     void start_router(std::size_t index);
     nlohmann::json configuration();
 
-    std::unique_ptr<store::stand_in> table;
+    std::unique_ptr<store::store_emulator> table;
     std::string table_address;
     store::port port;
     std::vector<std::unique_ptr<stand_in::engine>> engines;
--- a/tests/stand_in/engine_test.cpp
+++ b/tests/stand_in/engine_test.cpp
@@ -46,7 +46,7 @@
                     {{"X-Request-Id", "r"},
                      {"Caperpath-Resume-Offset", std::to_string(first)}});
                 RC_ASSERT(got.done);
-                RC_ASSERT(got.text() == answer_text(prompt, first, last));
+                RC_ASSERT(got.text() == response_text(prompt, first, last));
                 RC_ASSERT(got.events.back()["usage"]["completion_tokens"] ==
                           last);
                 auto const& end = got.events[got.events.size() - 2];
@@ -56,7 +56,7 @@
                 auto const whole = nlohmann::json::parse(
                     post(engine.port, "/v1/chat/completions", body)->body);
                 RC_ASSERT(whole["choices"][0]["message"]["content"] ==
-                          answer_text(prompt, 0, last));
+                          response_text(prompt, 0, last));
                 RC_ASSERT(whole["usage"]["prompt_tokens"] ==
                           prompt_tokens(prompt));
             });
--- a/tests/stand_in/running_engine.hpp
+++ b/tests/stand_in/running_engine.hpp
@@ -52,7 +52,7 @@
 inline std::string expected_response(std::string const& content)
 {
     auto const prompt = content + "\n";
-    return answer_text(prompt, 0, answer_length(prompt));
+    return response_text(prompt, 0, response_length(prompt));
 }
 
 template <class Holds>
--- a/tests/store/fake_platform.hpp
+++ b/tests/store/fake_platform.hpp
@@ -19,7 +19,7 @@
 class fake_platform
 {
 public:
-    explicit fake_platform(stand_in_settings const& settings = {})
+    explicit fake_platform(store_emulator_settings const& settings = {})
         : server{settings, caperpath::clock{[this]
                                             {
                                                 return instant{now};
@@ -59,7 +59,7 @@
     }
 
     std::atomic<std::int64_t> now{1'000'000};
-    stand_in server;
+    store_emulator server;
     std::string address;
 };
 
--- a/tests/store/http_port_test.cpp
+++ b/tests/store/http_port_test.cpp
@@ -90,7 +90,7 @@
         auto const connected = platform.connect();
         CPPUNIT_ASSERT(is_applied(connected.commit(insert("a", "1"))));
         auto const second = connected.commit(insert("a", "2"));
-        assert_not_applied(second, commit_outcome::refused,
+        assert_not_applied(second, commit_outcome::rejected,
                            error_kind::conflict, platform.address);
         CPPUNIT_ASSERT(second.failed == (std::vector<row>{{"a", 1, "1"}}));
     }
@@ -218,13 +218,13 @@
     // rejected without effect, so the caller may safely retry them later.
     void a_write_over_the_rate_limit_is_rejected()
     {
-        stand_in_settings settings;
+        store_emulator_settings settings;
         settings.writes_per_second = 4; // a burst of one write
         fake_platform platform{settings};
         auto const connected = platform.connect();
         CPPUNIT_ASSERT(is_applied(connected.commit(insert("a", "1"))));
         assert_not_applied(connected.commit(insert("b", "1")),
-                           commit_outcome::refused, error_kind::refused,
+                           commit_outcome::rejected, error_kind::refused,
                            platform.address);
         CPPUNIT_ASSERT(rows_of(connected, "b").empty());
         platform.now += 250;
@@ -238,7 +238,7 @@
         auto const connected = platform.connect();
         platform.plan({{"step", "any"}, {"kind", "outage"}, {"ms", 500}});
         assert_not_applied(connected.commit(insert("a", "1")),
-                           commit_outcome::refused, error_kind::unavailable,
+                           commit_outcome::rejected, error_kind::unavailable,
                            platform.address);
         auto const read = value_or_error([&] { return connected.list_vms(); });
         assert_fault(std::get<error>(read), error_kind::unavailable, "list vms",
@@ -257,7 +257,7 @@
         CPPUNIT_ASSERT(is_applied(connected.commit(insert("a", "1"))));
         platform.server.stop();
         assert_not_applied(connected.commit(insert("b", "1")),
-                           commit_outcome::refused, error_kind::unavailable,
+                           commit_outcome::rejected, error_kind::unavailable,
                            platform.address);
         auto const read =
             value_or_error([&] { return connected.get_object("a"); });
@@ -272,7 +272,7 @@
         fake_platform const platform;
         auto const connected = platform.connect();
         assert_not_applied(connected.commit(insert("\xff", "1")),
-                           commit_outcome::refused, error_kind::invalid,
+                           commit_outcome::rejected, error_kind::invalid,
                            platform.address);
         auto const read =
             value_or_error([&] { return connected.read({"\xff"}); });
@@ -308,7 +308,7 @@
     {
         constexpr int writers = 8;
         constexpr int draws = 20;
-        stand_in_settings settings;
+        store_emulator_settings settings;
         settings.writes_per_second = 1'000'000;
         settings.reads_per_second = 1'000'000;
         fake_platform const platform{settings};
--- a/tests/store/memory_table_test.cpp
+++ b/tests/store/memory_table_test.cpp
@@ -19,7 +19,7 @@
         auto const table = std::make_shared<memory_table>();
         auto const lossy =
             make_memory_port(table, [](std::string const&)
-                             { return injected_fault::lost_answer; });
+                             { return injected_fault::lost_response; });
         auto const outcome = lossy.commit({{{"a", 0}}, {{"a", "1"}}});
         CPPUNIT_ASSERT(outcome.outcome == commit_outcome::unknown);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table->read({"a"}).size());
@@ -31,7 +31,7 @@
         table.commit({{}, {{"a", "1"}}});
         auto const outcome =
             table.commit({{{"a", 1}, {"b", 7}}, {{"a", "2"}, {"b", "2"}}});
-        CPPUNIT_ASSERT(outcome.outcome == commit_outcome::refused);
+        CPPUNIT_ASSERT(outcome.outcome == commit_outcome::rejected);
         CPPUNIT_ASSERT_EQUAL(std::string{"b"}, outcome.failed.at(0).key);
         CPPUNIT_ASSERT_EQUAL(std::string{"1"}, table.read({"a"}).at(0).value);
     }
@@ -43,7 +43,7 @@
         table.commit({{}, {{"a", std::nullopt}}});
         table.commit({{}, {{"a", "2"}}});
         CPPUNIT_ASSERT(table.commit({{{"a", 1}}, {{"a", "3"}}}).outcome ==
-                       commit_outcome::refused);
+                       commit_outcome::rejected);
     }
 };
 
--- a/tests/store/store_emulator_test.cpp
+++ b/tests/store/store_emulator_test.cpp
@@ -30,7 +30,7 @@
     // router must not treat the list as current.
     void the_vm_list_lags()
     {
-        stand_in_settings settings;
+        store_emulator_settings settings;
         settings.list_lag = {2'000};
         fake_platform platform{settings};
         auto const connected = platform.connect();
@@ -57,7 +57,8 @@
     {
         std::ifstream file{CAPERPATH_SOURCE_DIR "/examples/platform.json"};
         std::vector<config::fault> faults;
-        auto const settings = read_stand_in_settings(json::parse(file), faults);
+        auto const settings =
+            read_store_emulator_settings(json::parse(file), faults);
         CPPUNIT_ASSERT(faults.empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, settings.vms.size());
     }
--- a/tests/store/wire_test.cpp
+++ b/tests/store/wire_test.cpp
@@ -118,17 +118,17 @@
     // written again.
     void only_a_platform_body_is_a_rejection()
     {
-        wire::refusal const why{error_kind::conflict, "a", {{"a", 3, "1"}}};
+        wire::rejection const why{error_kind::conflict, "a", {{"a", 3, "1"}}};
         auto const decoded = value_or_error(
-            [&] { return wire::decode_refusal(wire::encode(why)); });
-        CPPUNIT_ASSERT(std::get<wire::refusal>(decoded) == why);
+            [&] { return wire::decode_rejection(wire::encode(why)); });
+        CPPUNIT_ASSERT(std::get<wire::rejection>(decoded) == why);
         for (auto const* body :
              {"", "upstream gone", "{}", R"({"effect":"none"})",
               R"({"effect":"some","kind":"refused","detail":""})",
               R"({"effect":"none","kind":"timeout","detail":""})"})
         {
             auto const foreign =
-                value_or_error([&] { return wire::decode_refusal(body); });
+                value_or_error([&] { return wire::decode_rejection(body); });
             CPPUNIT_ASSERT(kind_of(foreign) == error_kind::invalid);
         }
     }
--- a/tools/gateway/main.cpp
+++ b/tools/gateway/main.cpp
@@ -85,12 +85,12 @@
     asio::io_context loop{one_thread};
     asio::signal_set signals{loop, SIGTERM, SIGINT, SIGHUP};
     asio::steady_timer timer{loop};
-    auto const store = std::make_shared<gateway::http_caller>(
+    auto const store = std::make_shared<gateway::http_client>(
         loop.get_executor(), settings.store_address);
     gateway::gateway_server serving{
         loop,
         settings,
-        platform::make_dialect(),
+        platform::make_protocol_adapter(),
         platform::make_store_port(store, settings.store_address, store_timeout),
         new_incarnation(settings.vm),
         STDOUT_FILENO};
@@ -112,7 +112,7 @@
     }
     wait_for_signals(signals, loop, timer, serving);
     loop.run();
-    serving.answer_overdue();
+    serving.reject_open_requests();
     serving.flush_log();
     // Requests that are still open hold references to the gateway, and the loop
     // holds the requests, so neither can be destroyed first.
--- a/tools/platform/main.cpp
+++ b/tools/platform/main.cpp
@@ -13,10 +13,10 @@
 
 constexpr int exit_cannot_listen = 1;
 
-int serve(store::stand_in_settings const& settings)
+int serve(store::store_emulator_settings const& settings)
 {
     observe::termination_signal const termination;
-    store::stand_in server{settings};
+    store::store_emulator server{settings};
     auto const address = server.start();
     if (address.empty())
     {
@@ -33,8 +33,8 @@
 
 int main(int argc, char** argv)
 {
-    return observe::run_program<store::stand_in_settings>(
+    return observe::run_program<store::store_emulator_settings>(
         {"caperpath-platform",
          "Emulator of the platform: table, objects and VM list in memory."},
-        argc, argv, store::read_stand_in_settings, serve);
+        argc, argv, store::read_store_emulator_settings, serve);
 }
