--- a/src/controllers/config_controller.cpp
+++ b/src/controllers/config_controller.cpp
@@ -1,7 +1,7 @@
 #include <caperpath/controllers/config_controller.hpp>
 
+#include <caperpath/config/configuration_state.hpp>
 #include <caperpath/config/store.hpp>
-#include <caperpath/config/view.hpp>
 
 #include <caf/all.hpp>
 #include <glog/logging.h>
@@ -21,11 +21,11 @@
 struct config_controller::state
 {
     mutable std::mutex mutex;
-    config::view view;
+    config::configuration_state view;
     config_status counts;
-    bool drain_ordered{false};
+    bool drain_commanded{false};
 
-    config::view current_view() const
+    config::configuration_state current_view() const
     {
         std::lock_guard const lock{this->mutex};
         return this->view;
@@ -41,10 +41,10 @@
         return newer;
     }
 
-    void apply_poll(config::poll_answer const& answer)
+    void apply_poll(config::poll_response const& answer)
     {
         std::lock_guard const lock{this->mutex};
-        this->drain_ordered = this->drain_ordered || answer.drain_ordered;
+        this->drain_commanded = this->drain_commanded || answer.drain_commanded;
         if (answer.current.version > 0)
         {
             this->view =
@@ -62,7 +62,7 @@
     void count_rejected_offer()
     {
         std::lock_guard const lock{this->mutex};
-        ++this->counts.refused_offers;
+        ++this->counts.rejected_offers;
     }
 };
 
@@ -218,7 +218,7 @@
 {
     return {[shared = this->shared_state]
             {
-                return config::in_force(shared->current_view());
+                return config::document_in_force(shared->current_view());
             }};
 }
 
@@ -227,20 +227,20 @@
     return this->shared_state->current_view().confirmed;
 }
 
-bool config_controller::drain_ordered() const
+bool config_controller::drain_commanded() const
 {
     std::lock_guard const lock{this->shared_state->mutex};
-    return this->shared_state->drain_ordered;
+    return this->shared_state->drain_commanded;
 }
 
 config_status config_controller::status() const
 {
     std::lock_guard const lock{this->shared_state->mutex};
     auto result = this->shared_state->counts;
-    auto const served = config::in_force(this->shared_state->view);
+    auto const served = config::document_in_force(this->shared_state->view);
     result.version = served ? served->version : 0;
     result.store_version = this->shared_state->view.store_version;
-    result.lag = config::lag(this->shared_state->view);
+    result.lag = config::version_lag(this->shared_state->view);
     return result;
 }
 
--- a/src/filters/account.cpp
+++ b/src/filters/account.cpp
@@ -1,4 +1,4 @@
-#include "filters/steps.hpp"
+#include "filters/request_filters.hpp"
 
 #include <caperpath/base/http_status.hpp>
 #include <caperpath/observe/log.hpp>
@@ -12,7 +12,7 @@
 // Status that other servers log for a caller that disconnected; never sent.
 constexpr int http_caller_left = 499;
 
-std::optional<request::refusal> enter(context& request)
+std::optional<request::rejection> enter(context& request)
 {
     auto const caller =
         observe::continue_trace(request.in.traceparent, *request.shared.ids);
@@ -51,7 +51,7 @@
                          " cost=" + std::to_string(request.cost);
     if (request.rejection)
     {
-        metrics.refused(request.rejection->code);
+        metrics.request_rejected(request.rejection->code);
         detail += " code=" + request.rejection->code;
     }
     auto const version = request.document ? request.document->version : 0;
--- a/src/gateway/budget_deal.cpp
+++ b/src/gateway/budget_share_allocation.cpp
@@ -1,9 +1,9 @@
-#include "gateway/budget_book.hpp"
+#include "gateway/budget_share_manager.hpp"
 #include "gateway/share_sizes.hpp"
 
 #include <caperpath/budget/rows.hpp>
+#include <caperpath/fleet/membership.hpp>
 #include <caperpath/fleet/placement.hpp>
-#include <caperpath/fleet/roster.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -49,7 +49,7 @@
 
 } // namespace
 
-void budget_book::note_routers(std::int64_t vms)
+void budget_share_manager::set_router_count(std::int64_t vms)
 {
     this->routers = vms;
 }
@@ -57,7 +57,7 @@
 /// Returns the larger count of live routers by heartbeats and by holdings.
 /// Heartbeats of routers that start together are read only after some seconds,
 /// their holdings sooner.
-std::int64_t budget_book::fleet_size() const
+std::int64_t budget_share_manager::fleet_size() const
 {
     auto const at = this->now.now();
     auto const reporting = std::count_if(
@@ -67,7 +67,7 @@
     return std::max(this->routers, reporting + 1);
 }
 
-bool budget_book::knows_fleet(instant at) const
+bool budget_share_manager::knows_fleet(instant at) const
 {
     auto const since = at - this->started_at;
     auto const reporting = std::ssize(this->holdings_received_at);
@@ -76,15 +76,15 @@
             this->routers > std::max<std::int64_t>(1, reporting));
 }
 
-bool budget_book::is_small_fleet() const
+bool budget_share_manager::is_small_fleet() const
 {
-    return this->fleet_size() <= budget::most_dealing_routers;
+    return this->fleet_size() <= budget::max_allocating_routers;
 }
 
 /// Returns the interval between reads of budget rows. All routers read what all
 /// of them write: with an interval proportional to their number, the total
 /// number of calls grows linearly and not quadratically.
-duration budget_book::budget_read_interval() const
+duration budget_share_manager::budget_read_interval() const
 {
     return this->is_small_fleet()
                ? std::max(least_budget_read_interval,
@@ -92,18 +92,18 @@
                : idle_read_interval;
 }
 
-void budget_book::follow_rows()
+void budget_share_manager::follow_rows()
 {
     table_listener holdings;
-    holdings.listed = [](store::feed_page const&) {
+    holdings.on_snapshot = [](store::feed_page const&) {
     };
-    holdings.changed = [this](store::feed_page const& page)
+    holdings.on_change = [this](store::feed_page const& page)
     {
         this->receive_holdings(page);
     };
-    holdings.reached = [](bool, error const&) {
+    holdings.on_reachability = [](bool, error const&) {
     };
-    holdings.pause = [this]
+    holdings.poll_delay = [this]
     {
         return this->is_small_fleet()
                    ? budget::holdings_read_pause(this->fleet_size())
@@ -111,36 +111,36 @@
     };
     auto const salt = fleet::stable_hash(this->vm.value);
     this->holding_rows = std::make_unique<table_follower>(
-        this->executor, this->port, store::own_table("holding"),
+        this->executor, this->port, store::table_for_kind("holding"),
         std::move(holdings), salt);
     this->holding_rows->start();
 
     table_listener budgets;
-    budgets.listed = [this](store::feed_page const&)
+    budgets.on_snapshot = [this](store::feed_page const&)
     {
         // Changes may have been missed: each row is read before it counts as
         // current again.
         this->rows_current_since = this->now.now();
     };
-    budgets.changed = [this](store::feed_page const& page)
+    budgets.on_change = [this](store::feed_page const& page)
     {
         this->receive_budget_rows(page);
     };
-    budgets.reached = [](bool, error const&) {
+    budgets.on_reachability = [](bool, error const&) {
     };
-    budgets.pause = [this]
+    budgets.poll_delay = [this]
     {
         return this->budget_read_interval();
     };
     this->budget_rows = std::make_unique<table_follower>(
-        this->executor, this->port, store::own_table("budget"),
+        this->executor, this->port, store::table_for_kind("budget"),
         std::move(budgets), salt);
     this->budget_rows->start();
 }
 
 /// Erases the holdings of VMs that no longer report. VMs are replaced as long
 /// as this process runs, so the maps would otherwise grow without bound.
-void budget_book::expire_holdings(instant at)
+void budget_share_manager::expire_holdings(instant at)
 {
     auto const is_old = [at](instant received)
     {
@@ -155,7 +155,7 @@
     }
 }
 
-void budget_book::receive_holdings(store::feed_page const& page)
+void budget_share_manager::receive_holdings(store::feed_page const& page)
 {
     auto const at = this->now.now();
     this->expire_holdings(at);
@@ -170,7 +170,7 @@
             value_or_error([&] { return budget::decode_holdings(row.value); });
         if (auto const* fault = std::get_if<error>(&read))
         {
-            this->log.fault(*fault);
+            this->log.write_error(*fault);
             continue;
         }
         this->holdings_received_at[*from] = at;
@@ -186,7 +186,7 @@
     }
 }
 
-void budget_book::receive_budget_rows(store::feed_page const& page)
+void budget_share_manager::receive_budget_rows(store::feed_page const& page)
 {
     auto const at = this->now.now();
     for (auto const& row : page.rows)
@@ -196,8 +196,8 @@
         if (found != this->accounts.end() && !row.deleted)
         {
             auto& share = found->second.share;
-            share = budget::noticed(std::move(share),
-                                    {row.key, row.version, row.value}, at);
+            share = budget::after_feed_update(
+                std::move(share), {row.key, row.version, row.value}, at);
             found->second.raise_paid();
         }
     }
@@ -205,9 +205,9 @@
     {
         if (of.share.seen && of.share.seen->at >= this->rows_current_since)
         {
-            of.share = budget::unchanged(std::move(of.share), at);
+            of.share = budget::after_feed_unchanged(std::move(of.share), at);
         }
-        if (!of.share.waiting.empty() || of.share.dealt)
+        if (!of.share.waiting.empty() || of.share.current_allocation)
         {
             this->settle_waiting(of);
             this->step(id);
@@ -215,14 +215,14 @@
     }
 }
 
-double budget_book::account::token_weighted_request() const
+double budget_share_manager::account::token_weighted_request() const
 {
     return this->mean_request > 0
                ? this->mean_squared_request / this->mean_request
                : 0;
 }
 
-budget::holding budget_book::own_holding(account const& of) const
+budget::holding budget_share_manager::own_holding(account const& of) const
 {
     auto const& share = of.share;
     budget::holding one;
@@ -249,7 +249,7 @@
     return one;
 }
 
-std::optional<store::row_write> budget_book::holdings_to_report()
+std::optional<store::row_write> budget_share_manager::holdings_to_report()
 {
     auto const at = this->now.now();
     auto const recently_written =
@@ -268,7 +268,7 @@
     return store::row_write{budget::holding_key(this->vm), budget::encode(all)};
 }
 
-void budget_book::allocate(account& of)
+void budget_share_manager::allocate(account& of)
 {
     auto& share = of.share;
     auto const at = this->now.now();
@@ -280,34 +280,38 @@
     {
         // In a large fleet the coordinator draws the tokens that it
         // distributes.
-        share.dealt = this->is_large_fleet()
-                          ? std::optional{budget::deal{of.pool_target, 0, 0}}
-                          : std::nullopt;
+        share.current_allocation =
+            this->is_large_fleet()
+                ? std::optional{budget::allocation{of.pool_target, 0, 0}}
+                : std::nullopt;
         share.must_return = false;
-        share.sizes.fresh = share_sizes().fresh;
+        share.sizes.max_row_age = share_sizes().max_row_age;
         return;
     }
-    if (share.dealt && of.allocated_version == share.seen->version &&
+    if (share.current_allocation &&
+        of.allocated_version == share.seen->version &&
         at - of.allocated_at < allocation_lifetime)
     {
         return;
     }
-    share.sizes.fresh = followed_row_fresh;
+    share.sizes.max_row_age = followed_row_fresh;
     of.allocated_version = share.seen->version;
     of.allocated_at = at;
-    share.dealt =
-        budget::deal_for(of.other_holdings, this->vm, this->own_holding(of),
-                         share.seen->row, this->fleet_size(), at);
+    share.current_allocation = budget::allocation_for(
+        of.other_holdings, this->vm, this->own_holding(of), share.seen->row,
+        this->fleet_size(), at);
     auto const free = budget::free_tokens(share);
     auto const wanted = share.seen->row.wanted;
-    auto const waited = (at - share.seen->wish_since).ms / request_doubling_ms;
+    auto const waited =
+        (at - share.seen->wanted_since).ms / request_doubling_ms;
     share.must_return =
         wanted > 0
             ? budget::must_return(of.other_holdings, this->vm, free,
                                   wanted << std::min(waited, most_doublings),
                                   this->fleet_size(), at)
             : budget::must_return(of.other_holdings, this->vm, free,
-                                  share.dealt->others_lack, this->routers, at);
+                                  share.current_allocation->others_shortage,
+                                  this->routers, at);
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/budget_book.hpp
+++ b/src/gateway/budget_share_manager.hpp
@@ -1,8 +1,8 @@
-#ifndef CAPERPATH_SRC_GATEWAY_BUDGET_BOOK_HPP
-#define CAPERPATH_SRC_GATEWAY_BUDGET_BOOK_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_BUDGET_SHARE_MANAGER_HPP
+#define CAPERPATH_SRC_GATEWAY_BUDGET_SHARE_MANAGER_HPP
 
 #include "gateway/decision_log.hpp"
-#include "gateway/spend_keeper.hpp"
+#include "gateway/spend_row_writer.hpp"
 #include "gateway/table_follower.hpp"
 #include "gateway/token_exchange.hpp"
 
@@ -29,12 +29,12 @@
 /// router at the same address takes over the shares, less what the dead
 /// router's spend row shows as possibly spent. Loop thread only; outlives its
 /// calls, and `log` outlives it.
-class budget_book
+class budget_share_manager
 {
 public:
     /// `peer_address` receives the datagrams of other routers, and `send` sends
     /// a datagram to another router.
-    budget_book(
+    budget_share_manager(
         boost::asio::any_io_executor const& executor, store::async_port port,
         std::string vm, std::string address, incarnation_id incarnation,
         std::string peer_address,
@@ -65,19 +65,19 @@
 
     /// Returns log fields with the state that reservations of the budget depend
     /// on.
-    std::vector<log_field> describe(budget_id const& budget) const;
+    std::vector<log_field> log_fields(budget_id const& budget) const;
 
     /// Sets the number of VMs that have a live router.
-    void note_routers(std::int64_t vms);
+    void set_router_count(std::int64_t vms);
 
     /// Sets the live routers, by datagram address.
-    void note_peers(std::map<std::string, incarnation_id> const& live);
+    void set_peers(std::map<std::string, incarnation_id> const& live);
 
     /// Handles a datagram of another router.
-    void receive(std::string const& from, std::string const& bytes);
+    void receive_datagram(std::string const& from, std::string const& bytes);
 
     /// Returns true if another router may soon give tokens of the budget.
-    bool may_be_given(budget_id const& budget);
+    bool may_receive_tokens(budget_id const& budget);
 
     /// Returns free tokens to the budget rows, now and as requests end. Admits
     /// no further reservation.
@@ -89,12 +89,12 @@
     /// Returns true if the share covers `amount` after all waiting
     /// reservations, and the spend limit will allow it within `wait` without a
     /// response of the store.
-    bool opens_within(budget_id const& budget, token_count amount,
-                      duration wait) const;
+    bool covers_within(budget_id const& budget, token_count amount,
+                       duration wait) const;
 
     /// Returns false until a budget row was read: before that this router can
     /// only reject requests. Returns true if no customer has a budget.
-    bool knows_a_budget() const;
+    bool has_read_a_budget() const;
 
     /// Returns true if the first share of each budget was drawn, or the draw
     /// was tried several times.
@@ -140,7 +140,8 @@
     using reply_handler = std::function<void(budget::reserve_reply)>;
 
     account& open_account(budget_id const& budget);
-    std::map<budget_id, budget::spend_line> required_spend_limits() const;
+    std::map<budget_id, budget::spend_limit_curve>
+    required_spend_limits() const;
     std::optional<store::row_write> holdings_to_report();
     budget::holding own_holding(account const& of) const;
     share_access make_share_access();
@@ -150,7 +151,7 @@
                        duration wait, std::function<void(bool)> done);
     void add_from_peer(budget_id const& budget, token_count tokens);
     void reject_waiting(budget_id const& budget, duration retry_after);
-    void send_replies(std::vector<budget::answered_reservation> const& decided);
+    void send_replies(std::vector<budget::decided_reservation> const& decided);
     void update_draw_mode(account& of, instant at);
     bool is_large_fleet() const;
     double initial_headroom(account const& of, double traffic) const;
@@ -167,7 +168,7 @@
     bool is_small_fleet() const;
     duration budget_read_interval() const;
     void inherit(incarnation_id const& dead,
-                 std::map<budget_id, budget::spend_line> const& limits);
+                 std::map<budget_id, budget::spend_limit_curve> const& limits);
     void try_takeover(account& of);
     void rename_share(budget_id const& budget, store::row const& found);
     void takeover_failed(budget_id const& budget);
@@ -193,7 +194,7 @@
     vm_id vm;
     incarnation_id incarnation;
     decision_log& log;
-    spend_keeper spend_writer;
+    spend_row_writer spend_writer;
     caperpath::clock now{caperpath::clock::monotonic()};
     token_exchange exchange;
     std::uint64_t
--- a/src/gateway/core.cpp
+++ b/src/gateway/core.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 core::core(asio::any_io_executor const& loop, gateway::settings const& settings,
-           dialect adapter, store::async_port const& store,
+           protocol_adapter adapter, store::async_port const& store,
            incarnation_id incarnation, int log_descriptor)
     : loop{loop}, settings{settings}, adapter{std::move(adapter)},
       log{loop, log_descriptor, settings.vm}, prompts{max_remembered_parts},
@@ -44,8 +44,8 @@
       pool{loop,
            [this](bool answered)
            {
-               this->uplink =
-                   fleet::server_tried(this->uplink, answered, this->now.now());
+               this->uplink = fleet::note_connect_result(this->uplink, answered,
+                                                         this->now.now());
            }},
       crashes{loop, store, fleet::stable_hash(settings.vm), this->log},
       crash_checks{loop}
--- a/src/gateway/core.hpp
+++ b/src/gateway/core.hpp
@@ -1,27 +1,27 @@
 #ifndef CAPERPATH_SRC_GATEWAY_CORE_HPP
 #define CAPERPATH_SRC_GATEWAY_CORE_HPP
 
-#include "gateway/budget_book.hpp"
+#include "gateway/budget_share_manager.hpp"
 #include "gateway/connection.hpp"
 #include "gateway/crash_check.hpp"
-#include "gateway/crash_keeper.hpp"
+#include "gateway/crash_tracker.hpp"
 #include "gateway/decision_log.hpp"
-#include "gateway/dialect.hpp"
 #include "gateway/gateway_metrics.hpp"
-#include "gateway/peer_link.hpp"
-#include "gateway/roster_keeper.hpp"
+#include "gateway/membership_tracker.hpp"
+#include "gateway/peer_socket.hpp"
+#include "gateway/protocol_adapter.hpp"
 #include "gateway/server_pool.hpp"
 #include "gateway/settings.hpp"
 #include "gateway/waker.hpp"
 
 #include <caperpath/base/clock.hpp>
-#include <caperpath/fleet/own_link.hpp>
 #include <caperpath/fleet/placement.hpp>
 #include <caperpath/fleet/retry_window.hpp>
 #include <caperpath/fleet/server_table.hpp>
 #include <caperpath/fleet/service_times.hpp>
 #include <caperpath/fleet/shutdown.hpp>
 #include <caperpath/fleet/site.hpp>
+#include <caperpath/fleet/uplink.hpp>
 
 #include <cstdint>
 #include <map>
@@ -38,12 +38,12 @@
 struct core
 {
     core(asio::any_io_executor const& loop, settings const& settings,
-         dialect adapter, store::async_port const& store,
+         protocol_adapter adapter, store::async_port const& store,
          incarnation_id incarnation, int log_descriptor);
 
     asio::any_io_executor loop;
     gateway::settings const settings;
-    dialect const adapter;
+    protocol_adapter const adapter;
     caperpath::clock const now{caperpath::clock::monotonic()};
     /// For the retry limit, whose windows are compared with those of other
     /// routers.
@@ -54,15 +54,15 @@
     std::shared_ptr<fleet::site const> site; ///< null until first read
     fleet::server_table servers;
     bool servers_listed{false};
-    fleet::prompt_memory prompts;
+    fleet::prefix_history prompts;
     fleet::engine_speed speed;
     fleet::retry_window retries;
-    peer_link peers;
+    peer_socket peers;
     membership_tracker membership;
-    budget_book budgets;
-    fleet::own_link uplink;
+    budget_share_manager budgets;
+    fleet::uplink uplink;
     server_pool pool;
-    crash_keeper crashes;
+    crash_tracker crashes;
     crash_check crash_checks;
     std::set<fleet::fingerprint> on_probation; ///< in progress here
     /// Open sends of requests that were at a crash, by server.
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -6,7 +6,7 @@
 
 #include <caperpath/fleet/attempt.hpp>
 #include <caperpath/fleet/crash_record.hpp>
-#include <caperpath/fleet/event_scan.hpp>
+#include <caperpath/fleet/event_splitter.hpp>
 #include <caperpath/fleet/placement.hpp>
 
 #include <boost/beast/http/message.hpp>
@@ -62,7 +62,7 @@
     fleet::route const* route{};
     fleet::customer const* customer{};
     fleet::service const* service{};
-    fleet::work work;
+    fleet::placement_request work;
     instant deadline{};
     bool deadline_from_stop{false}; ///< a planned stop set `deadline`
 
@@ -71,13 +71,13 @@
 
     fleet::attempt_state attempts;
     std::vector<backend_server_id> tried;
-    /// Computed on first use; see `crash_step.hpp`.
+    /// Computed on first use; see `crash_handling.hpp`.
     std::optional<fleet::fingerprint> fingerprint;
     fleet::crash_evidence evidence; ///< as known at the latest send
     bool on_probation{false}; ///< holds the probation slot of its fingerprint
     bool server_crashed{false};
     std::int64_t possible_deliveries{}; ///< sends that may have arrived
-    fleet::event_scan events;
+    fleet::event_splitter events;
     bool response_started{false};
     duration reserve_wait{};    ///< time spent on reserving tokens
     bool prompt_started{false}; ///< a server began to process the prompt
--- a/src/gateway/roster_keeper.cpp
+++ b/src/gateway/membership_tracker.cpp
@@ -1,6 +1,6 @@
-#include "gateway/roster_keeper.hpp"
+#include "gateway/membership_tracker.hpp"
 
-#include "gateway/call_after.hpp"
+#include "gateway/run_after.hpp"
 
 #include <chrono>
 #include <optional>
@@ -83,8 +83,8 @@
     {
         return 0;
     }
-    return fleet::slack_sharers(this->known, this->lease, this->self,
-                                this->window, this->now.now());
+    return fleet::retry_allowance_sharers(this->known, this->lease, this->self,
+                                          this->window, this->now.now());
 }
 
 duration membership_tracker::read_age() const
@@ -106,7 +106,7 @@
                       {
                           if (result.outcome != store::commit_outcome::applied)
                           {
-                              this->log.fault(result.fault);
+                              this->log.write_error(result.fault);
                               return;
                           }
                           this->lease = fleet::renewed(this->lease,
@@ -118,8 +118,7 @@
 
 void membership_tracker::heartbeat_after(duration pause)
 {
-    call_after(this->heartbeat_timer, pause,
-               [this] { this->send_heartbeat(); });
+    run_after(this->heartbeat_timer, pause, [this] { this->send_heartbeat(); });
 }
 
 /// Retries a failed read soon, since the view of the fleet expires.
@@ -132,7 +131,7 @@
         {
             if (auto const* fault = std::get_if<error>(&reply))
             {
-                this->log.fault(*fault);
+                this->log.write_error(*fault);
                 this->read_members_after(fleet::heartbeat_interval);
                 return;
             }
@@ -144,7 +143,7 @@
 
 void membership_tracker::read_members_after(duration pause)
 {
-    call_after(this->read_timer, pause, [this] { this->read_members(); });
+    run_after(this->read_timer, pause, [this] { this->read_members(); });
 }
 
 void membership_tracker::apply(std::vector<store::row> const& rows,
@@ -159,10 +158,11 @@
             heartbeats.push_back({*router, row.value, row.version});
         }
     }
-    this->known = fleet::seen(std::move(this->known), heartbeats, times);
+    this->known =
+        fleet::update_membership(std::move(this->known), heartbeats, times);
     this->read_count += 1;
     this->remove_dead_rows();
-    auto const count = fleet::alive(this->known);
+    auto const count = fleet::live_router_count(this->known);
     if (count != this->last_alive)
     {
         this->log.write(log_weight::notable, "routers",
@@ -174,7 +174,8 @@
 
 void membership_tracker::remove_dead_rows()
 {
-    for (auto const& router : fleet::dead(this->known, this->self))
+    for (auto const& router :
+         fleet::dead_routers_to_remove(this->known, this->self))
     {
         auto const key = key_of(router);
         store::transaction txn;
--- a/src/gateway/roster_keeper.hpp
+++ b/src/gateway/membership_tracker.hpp
@@ -1,11 +1,11 @@
-#ifndef CAPERPATH_SRC_GATEWAY_ROSTER_KEEPER_HPP
-#define CAPERPATH_SRC_GATEWAY_ROSTER_KEEPER_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_MEMBERSHIP_TRACKER_HPP
+#define CAPERPATH_SRC_GATEWAY_MEMBERSHIP_TRACKER_HPP
 
 #include "gateway/decision_log.hpp"
 
 #include <caperpath/base/clock.hpp>
-#include <caperpath/fleet/roster.hpp>
-#include <caperpath/fleet/slack_share.hpp>
+#include <caperpath/fleet/membership.hpp>
+#include <caperpath/fleet/retry_allowance.hpp>
 #include <caperpath/store/async_port.hpp>
 
 #include <boost/asio/any_io_executor.hpp>
@@ -67,8 +67,8 @@
     duration window;
     decision_log& log;
     caperpath::clock now{caperpath::clock::boot()};
-    fleet::roster known;
-    fleet::slack_lease lease;
+    fleet::membership known;
+    fleet::retry_allowance_lease lease;
     std::int64_t last_alive{};
     std::uint64_t read_count{};
     bool leaving{false};
--- a/src/gateway/spend_keeper.hpp
+++ b/src/gateway/spend_row_writer.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_GATEWAY_SPEND_KEEPER_HPP
-#define CAPERPATH_SRC_GATEWAY_SPEND_KEEPER_HPP
+#ifndef CAPERPATH_SRC_GATEWAY_SPEND_ROW_WRITER_HPP
+#define CAPERPATH_SRC_GATEWAY_SPEND_ROW_WRITER_HPP
 
 #include "gateway/decision_log.hpp"
 
@@ -23,7 +23,7 @@
 struct spend_listener
 {
     /// Returns the spend limits that the budgets need now.
-    std::function<std::map<budget_id, budget::spend_line>()> required;
+    std::function<std::map<budget_id, budget::spend_limit_curve>()> required;
 
     /// Returns a row to write together with the next spend row, if one is due.
     std::function<std::optional<store::row_write>()> extra_write;
@@ -40,21 +40,22 @@
     /// `required` must hold at least that for each budget whose share may be
     /// renamed: with a lower limit, a successor would spend the same tokens
     /// again.
-    std::function<void(incarnation_id const& dead,
-                       std::map<budget_id, budget::spend_line> const& limits)>
+    std::function<void(
+        incarnation_id const& dead,
+        std::map<budget_id, budget::spend_limit_curve> const& limits)>
         inherit;
 };
 
 /// Writes this router's spend row to the store and reads that of the previous
 /// router at this address. Loop thread only; outlives its calls, and `log`
 /// outlives it.
-class spend_keeper
+class spend_row_writer
 {
 public:
-    spend_keeper(boost::asio::any_io_executor const& executor,
-                 store::async_port port, std::string vm, std::string address,
-                 incarnation_id self, spend_listener listener,
-                 decision_log& log);
+    spend_row_writer(boost::asio::any_io_executor const& executor,
+                     store::async_port port, std::string vm,
+                     std::string address, incarnation_id self,
+                     spend_listener listener, decision_log& log);
 
     /// Starts reading and writing; call once. @pre the own address is bound,
     /// which proves that the previous router at it is dead.
@@ -80,7 +81,7 @@
     void use_previous(store::row const& row);
     void first_write();
     void finish_first_write(store::commit_result const& result);
-    void send(std::map<budget_id, budget::spend_line> const& limits,
+    void send(std::map<budget_id, budget::spend_limit_curve> const& limits,
               std::function<void(store::commit_result const&)> done);
     void write();
     void finish_write(store::commit_result const& result);
--- a/src/load/attempt.hpp
+++ b/src/load/attempt.hpp
@@ -1,9 +1,9 @@
 #ifndef CAPERPATH_SRC_LOAD_ATTEMPT_HPP
 #define CAPERPATH_SRC_LOAD_ATTEMPT_HPP
 
-#include "load/answer_reader.hpp"
 #include "load/planner.hpp"
 #include "load/record.hpp"
+#include "load/response_reader.hpp"
 #include "load/scenario.hpp"
 
 #include <caperpath/base/clock.hpp>
@@ -21,7 +21,7 @@
     std::string request_id;
     std::string outcome; ///< `Caperpath-Outcome`, empty if not given
     duration retry_after{};
-    chat_answer answer;
+    received_response answer;
     std::string code; ///< of a rejection
     ending end{ending::unanswered};
 
--- a/src/stand_in/service.cpp
+++ b/src/stand_in/service.cpp
@@ -38,12 +38,12 @@
     service_settings settings;
     settings.listen = read_listen(reader);
     settings.name = reader.text("name");
-    settings.work = {reader.whole_or("work_ms", "milliseconds", 0, max_ms,
-                                     defaults.work.ms)};
+    settings.work = {reader.integer_or("work_ms", "milliseconds", 0, max_ms,
+                                       defaults.work.ms)};
     settings.slots =
-        reader.whole_or("slots", "calls", 1, max_slots, defaults.slots);
-    settings.load_lag = {reader.whole_or("load_lag_ms", "milliseconds", 0,
-                                         max_ms, defaults.load_lag.ms)};
+        reader.integer_or("slots", "calls", 1, max_slots, defaults.slots);
+    settings.load_lag = {reader.integer_or("load_lag_ms", "milliseconds", 0,
+                                           max_ms, defaults.load_lag.ms)};
     settings.checks_fencing =
         reader.boolean_or("checks_fencing", defaults.checks_fencing);
     reader.finish();
@@ -81,15 +81,15 @@
     add_outage(this->server, this->faults, {"/faults", "/executions"});
     add_fault_routes(this->server, this->faults,
                      {"delay", "error", "outage", "silent", "drop_answer"},
-                     [this](ordered_fault const& fault)
+                     [this](fault_command const& fault)
                      { this->faults.add(fault); });
-    add_order_route(this->server, this->orders,
-                    [this]
-                    {
-                        this->history.update(
-                            [this](load_sample& sample)
-                            { sample.leaving = this->orders.leaving(); });
-                    });
+    add_command_route(this->server, this->orders,
+                      [this]
+                      {
+                          this->history.update(
+                              [this](load_sample& sample)
+                              { sample.leaving = this->orders.leaving(); });
+                      });
     this->server.Get("/executions", [this](Request const&, Response& response)
                      { reply_json(response, 200, this->executions.all()); });
     this->server.Get("/load", [this](Request const&, Response& response)
@@ -126,8 +126,8 @@
 
 bool service::reject(httplib::Response& response)
 {
-    return refused_by_order(this->faults, this->orders, this->stopping,
-                            response);
+    return rejected_by_fault_or_drain(this->faults, this->orders,
+                                      this->stopping, response);
 }
 
 void service::run(httplib::Request const& request, httplib::Response& response)
--- a/src/store/stand_in_answer.hpp
+++ b/src/store/store_emulator_response.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERPATH_SRC_STORE_STAND_IN_ANSWER_HPP
-#define CAPERPATH_SRC_STORE_STAND_IN_ANSWER_HPP
+#ifndef CAPERPATH_SRC_STORE_STORE_EMULATOR_RESPONSE_HPP
+#define CAPERPATH_SRC_STORE_STORE_EMULATOR_RESPONSE_HPP
 
 #include <caperpath/config/json_reader.hpp>
 #include <caperpath/store/table.hpp>
@@ -25,7 +25,7 @@
 void write_rejection(httplib::Response& response,
                      std::vector<config::fault> const& faults);
 
-/// @pre `outcome` is applied or refused.
+/// @pre `outcome` is applied or rejected.
 void write_response(httplib::Response& response, commit_result const& outcome);
 
 /// Calls `use` with the decoded body, or responds that the body is invalid.
--- a/tests/base/call_patience_test.cpp
+++ b/tests/base/adaptive_timeout_test.cpp
@@ -1,13 +1,13 @@
-#include <caperpath/base/call_patience.hpp>
+#include <caperpath/base/adaptive_timeout.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
 using namespace caperpath;
 using namespace caperpath;
 
-class call_patience_test : public CppUnit::TestFixture
+class adaptive_timeout_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(call_patience_test);
+    CPPUNIT_TEST_SUITE(adaptive_timeout_test);
     CPPUNIT_TEST(a_lost_response_times_out_soon);
     CPPUNIT_TEST(the_timeout_grows_for_a_slow_store);
     CPPUNIT_TEST_SUITE_END();
@@ -19,26 +19,26 @@
     // to a quarter of the tokens that they had paid for.
     void a_lost_response_times_out_soon()
     {
-        call_patience of;
-        of = answered(of, duration{12});
-        CPPUNIT_ASSERT(wait_for_answer(of, longest) == duration{200});
+        adaptive_timeout of;
+        of = after_response(of, duration{12});
+        CPPUNIT_ASSERT(next_call_timeout(of, longest) == duration{200});
     }
 
     // The store takes 50 times as long as usual. If calls timed out after the
     // usual time, none would ever get a response.
     void the_timeout_grows_for_a_slow_store()
     {
-        call_patience of;
-        of = unanswered(unanswered(of));
-        CPPUNIT_ASSERT(wait_for_answer(of, longest) == longest);
-        of = answered(of, duration{450});
-        CPPUNIT_ASSERT(wait_for_answer(of, longest) >= duration{700});
+        adaptive_timeout of;
+        of = after_timeout(after_timeout(of));
+        CPPUNIT_ASSERT(next_call_timeout(of, longest) == longest);
+        of = after_response(of, duration{450});
+        CPPUNIT_ASSERT(next_call_timeout(of, longest) >= duration{700});
         for (int i = 0; i < 40; ++i)
         {
-            of = answered(of, duration{10});
+            of = after_response(of, duration{10});
         }
-        CPPUNIT_ASSERT(wait_for_answer(of, longest) == duration{200});
+        CPPUNIT_ASSERT(next_call_timeout(of, longest) == duration{200});
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(call_patience_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(adaptive_timeout_test);
--- a/tests/budget/answered_test.cpp
+++ b/tests/budget/kept_bill_test.cpp
@@ -2,7 +2,7 @@
 
 #include <caperpath/budget/recovery.hpp>
 #include <caperpath/budget/settlement.hpp>
-#include <caperpath/request/claim_run.hpp>
+#include <caperpath/request/claim_store.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -42,7 +42,7 @@
     {
         return this->port
             .commit({{{holder_key(dead), this->holder.version}},
-                     {{answered_key(dead, kept_bill),
+                     {{kept_bill_key(dead, kept_bill),
                        encode(std::vector{kept_bill})}}})
             .outcome;
     }
@@ -79,9 +79,9 @@
 
 } // namespace
 
-class answered_test : public CppUnit::TestFixture
+class kept_bill_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(answered_test);
+    CPPUNIT_TEST_SUITE(kept_bill_test);
     CPPUNIT_TEST(a_crash_before_the_settlement_loses_no_bill);
     CPPUNIT_TEST(a_settled_bill_is_not_written_again);
     CPPUNIT_TEST(a_claim_written_after_its_bill_adds_no_bill);
@@ -107,7 +107,7 @@
         here.store_response();
         here.settle();
         CPPUNIT_ASSERT(
-            here.table->read({answered_key(dead, kept_bill)}).empty());
+            here.table->read({kept_bill_key(dead, kept_bill)}).empty());
         check_billed_once(here.recovered());
     }
 
@@ -120,7 +120,7 @@
         here.store_response();
         check_billed_once(here.recovered());
         CPPUNIT_ASSERT(
-            here.table->read({answered_key(dead, kept_bill)}).empty());
+            here.table->read({kept_bill_key(dead, kept_bill)}).empty());
     }
 
     // A paused router resumes after its share was recovered and goes on
@@ -130,7 +130,8 @@
     {
         scenario here;
         here.recovered();
-        CPPUNIT_ASSERT(here.store_response() == store::commit_outcome::refused);
+        CPPUNIT_ASSERT(here.store_response() ==
+                       store::commit_outcome::rejected);
         here.settle();
         auto const found = audit_of(*here.table, name);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, found.billed);
@@ -138,4 +139,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(answered_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(kept_bill_test);
--- a/tests/config/view_test.cpp
+++ b/tests/config/configuration_state_test.cpp
@@ -1,4 +1,4 @@
-#include <caperpath/config/view.hpp>
+#include <caperpath/config/configuration_state.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -19,9 +19,9 @@
 
 } // namespace
 
-class view_test : public CppUnit::TestFixture
+class configuration_state_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(view_test);
+    CPPUNIT_TEST_SUITE(configuration_state_test);
     CPPUNIT_TEST(never_reverts_and_starts_with_the_newest);
     CPPUNIT_TEST(keeps_serving_while_a_newer_one_loads);
     CPPUNIT_TEST_SUITE_END();
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT(rc::check(
             []
             {
-                view now;
+                configuration_state now;
                 std::uint64_t served = 0;
                 std::uint64_t named = 0;
                 auto const steps = *rc::gen::inRange(1, 40);
@@ -46,7 +46,7 @@
                     named = from_store ? std::max(named, version) : named;
                     now = from_store ? with_store_version(now, version)
                                      : with_document(now, numbered(version));
-                    auto const document = in_force(now);
+                    auto const document = document_in_force(now);
                     RC_ASSERT(document || served == 0);
                     if (!document)
                     {
@@ -54,8 +54,9 @@
                     }
                     RC_ASSERT(document->version >= served);
                     RC_ASSERT(served != 0 || document->version >= named);
-                    RC_ASSERT(lag(now) == std::max(named, document->version) -
-                                              document->version);
+                    RC_ASSERT(version_lag(now) ==
+                              std::max(named, document->version) -
+                                  document->version);
                     served = document->version;
                 }
             }));
@@ -68,9 +69,9 @@
     {
         auto now = with_document(with_store_version({}, 1), numbered(1));
         now = with_store_version(now, 2);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, in_force(now)->version);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, lag(now));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, document_in_force(now)->version);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, version_lag(now));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(view_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(configuration_state_test);
--- a/tests/controllers/budget_controller_test.cpp
+++ b/tests/controllers/budget_controller_test.cpp
@@ -103,7 +103,7 @@
             [calls](std::string const& step)
             {
                 auto const lost = step == "commit" && ++*calls % 7 == 0;
-                return lost ? injected_fault::lost_answer
+                return lost ? injected_fault::lost_response
                             : injected_fault::none;
             });
         auto const direct = store::make_memory_port(table);
@@ -132,7 +132,7 @@
         }
         CPPUNIT_ASSERT(routers.stop());
         auto const found = budget::audit_of(*table, budget_name);
-        CPPUNIT_ASSERT(budget::upholds_formula(found));
+        CPPUNIT_ASSERT(budget::is_consistent(found));
         CPPUNIT_ASSERT_EQUAL(4 * requests, admitted.load());
         CPPUNIT_ASSERT_EQUAL(token_count{4 * requests * cost}, found.billed);
         CPPUNIT_ASSERT_EQUAL(found.billed, found.row.granted);
--- a/tests/fleet/retry_fleet.hpp
+++ b/tests/fleet/retry_fleet.hpp
@@ -2,9 +2,9 @@
 #define CAPERPATH_TESTS_FLEET_RETRY_FLEET_HPP
 
 #include <caperpath/base/clock.hpp>
+#include <caperpath/fleet/membership.hpp>
+#include <caperpath/fleet/retry_allowance.hpp>
 #include <caperpath/fleet/retry_window.hpp>
-#include <caperpath/fleet/roster.hpp>
-#include <caperpath/fleet/slack_share.hpp>
 
 #include <cstdint>
 #include <deque>
@@ -97,8 +97,8 @@
         duration suspended{};     ///< in total
         instant next_heartbeat{}; ///< by its monotonic clock
         instant next_read{};
-        roster known;
-        slack_lease lease;
+        membership known;
+        retry_allowance_lease lease;
         retry_window window;
     };
     struct call
--- a/tests/fleet/own_link_test.cpp
+++ b/tests/fleet/uplink_test.cpp
@@ -1,13 +1,13 @@
-#include <caperpath/fleet/own_link.hpp>
+#include <caperpath/fleet/uplink.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
 using namespace caperpath;
 using namespace caperpath::fleet;
 
-class own_link_test : public CppUnit::TestFixture
+class uplink_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(own_link_test);
+    CPPUNIT_TEST_SUITE(uplink_test);
     CPPUNIT_TEST(a_saturated_link_sheds_callers);
     CPPUNIT_TEST(silent_servers_alone_shed_nobody);
     CPPUNIT_TEST(a_silent_store_alone_sheds_nobody);
@@ -28,13 +28,13 @@
 
     struct simulation
     {
-        own_link link;
+        uplink link;
         instant now{10'000};
         bool shed{false}; ///< at any time in the latest run
 
         simulation()
         {
-            this->link = confirmed(this->link);
+            this->link = note_configuration_confirmed(this->link);
         }
 
         void run(duration span, pattern const& what)
@@ -53,17 +53,17 @@
         {
             if (what.store)
             {
-                this->link = confirmed(this->link);
+                this->link = note_configuration_confirmed(this->link);
             }
             for (int i = 0; i < what.answered; ++i)
             {
-                this->link = server_tried(this->link, true, this->now);
+                this->link = note_connect_result(this->link, true, this->now);
             }
             for (int i = 0; i < what.silent; ++i)
             {
-                this->link = server_tried(this->link, false, this->now);
+                this->link = note_connect_result(this->link, false, this->now);
             }
-            this->link = looked_at(this->link, this->now);
+            this->link = advance_time(this->link, this->now);
         }
     };
 
@@ -142,4 +142,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(own_link_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(uplink_test);
--- a/tests/gateway/http_call_test.cpp
+++ b/tests/gateway/http_client_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/http_call.hpp"
+#include "gateway/http_client.hpp"
 
 #include <boost/asio/io_context.hpp>
 
@@ -10,9 +10,9 @@
 using namespace caperpath;
 using namespace caperpath::gateway;
 
-class http_call_test : public CppUnit::TestFixture
+class http_client_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(http_call_test);
+    CPPUNIT_TEST_SUITE(http_client_test);
     CPPUNIT_TEST(keepalive_probes_detect_silence_in_time);
     CPPUNIT_TEST(keepalive_probes_can_be_disabled);
     CPPUNIT_TEST_SUITE_END();
@@ -42,7 +42,7 @@
     void keepalive_probes_detect_silence_in_time()
     {
         scenario here;
-        probe_silence(here.socket, true);
+        set_keepalive_probes(here.socket, true);
         CPPUNIT_ASSERT_EQUAL(1, here.option(SOL_SOCKET, SO_KEEPALIVE));
         auto const detected_s = here.option(IPPROTO_TCP, TCP_KEEPIDLE) +
                                 here.option(IPPROTO_TCP, TCP_KEEPINTVL) *
@@ -54,10 +54,10 @@
     void keepalive_probes_can_be_disabled()
     {
         scenario here;
-        probe_silence(here.socket, true);
-        probe_silence(here.socket, false);
+        set_keepalive_probes(here.socket, true);
+        set_keepalive_probes(here.socket, false);
         CPPUNIT_ASSERT_EQUAL(0, here.option(SOL_SOCKET, SO_KEEPALIVE));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(http_call_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(http_client_test);
--- a/tests/gateway/spend_keeper_test.cpp
+++ b/tests/gateway/spend_row_writer_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/spend_keeper.hpp"
+#include "gateway/spend_row_writer.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,9 +11,9 @@
 using namespace caperpath;
 using namespace caperpath::gateway;
 
-class spend_keeper_test : public CppUnit::TestFixture
+class spend_row_writer_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(spend_keeper_test);
+    CPPUNIT_TEST_SUITE(spend_row_writer_test);
     CPPUNIT_TEST(an_immediate_rejection_is_retried_after_a_pause);
     CPPUNIT_TEST(the_limit_at_a_later_time_is_known);
     CPPUNIT_TEST_SUITE_END();
@@ -29,20 +29,22 @@
         int null_device{open("/dev/null", O_WRONLY | O_CLOEXEC)};
         decision_log log{loop.get_executor(), null_device, "vm-1"};
         std::vector<commit_reply> writes;
-        spend_keeper writer{loop.get_executor(),
-                            port(),
-                            "vm-1",
-                            "10.0.0.1:80",
-                            {"vm-1-1"},
-                            {[] {
-                                 return std::map<budget_id, budget::spend_line>{
-                                     {taller, {300, 1'000}}};
-                             },
-                             [] { return std::optional<store::row_write>{}; },
-                             [] { return duration{300}; }, [] {},
-                             [](auto const&, auto const&) {
-                             }},
-                            log};
+        spend_row_writer writer{
+            loop.get_executor(),
+            port(),
+            "vm-1",
+            "10.0.0.1:80",
+            {"vm-1-1"},
+            {[]
+             {
+                 return std::map<budget_id, budget::spend_limit_curve>{
+                     {taller, {300, 1'000}}};
+             },
+             [] { return std::optional<store::row_write>{}; },
+             [] { return duration{300}; }, [] {},
+             [](auto const&, auto const&) {
+             }},
+            log};
 
         writer_fixture()
         {
@@ -58,8 +60,8 @@
         store::async_port port()
         {
             store::async_port made;
-            made.read =
-                [](std::string const& key, store::reply<store::row> const& done)
+            made.read = [](std::string const& key,
+                           store::result_callback<store::row> const& done)
             {
                 done(store::row{key, 0, ""});
             };
@@ -90,7 +92,7 @@
         writer_fixture fixture;
         fixture.writer.write_soon();
         auto const before = fixture.writes.size();
-        fixture.complete_last(store::commit_outcome::refused);
+        fixture.complete_last(store::commit_outcome::rejected);
         for (int i = 0; i < 25; ++i)
         {
             fixture.writer.write_soon();
@@ -106,7 +108,7 @@
     {
         writer_fixture fixture;
         auto const now = caperpath::clock::monotonic().now();
-        auto const later = now + budget::flat_for + duration{300};
+        auto const later = now + budget::flat_period + duration{300};
         auto const limit = fixture.writer.limit(taller, {90'000, 0}, later);
         CPPUNIT_ASSERT(limit >= 300);
         CPPUNIT_ASSERT(limit < 90'000);
@@ -116,4 +118,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(spend_keeper_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(spend_row_writer_test);
--- a/tests/load/answer_reader_test.cpp
+++ b/tests/load/response_reader_test.cpp
@@ -1,5 +1,5 @@
-#include "load/answer_reader.hpp"
-#include "stand_in/answer.hpp"
+#include "load/response_reader.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <nlohmann/json.hpp>
@@ -28,7 +28,7 @@
     tokens.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i)
     {
-        tokens.push_back(stand_in::answer_token(prompt + "\n", i));
+        tokens.push_back(stand_in::response_token(prompt + "\n", i));
     }
     return tokens;
 }
@@ -46,11 +46,11 @@
     return text + "data: [DONE]\n\n";
 }
 
-chat_answer read(std::string const& bytes)
+received_response read(std::string const& bytes)
 {
     stream_reader reader;
     reader.feed(bytes, 1);
-    return reader.answer();
+    return reader.response();
 }
 
 std::string make_prompt(std::string const& words, int tokens)
@@ -60,9 +60,9 @@
 
 } // namespace
 
-class answer_reader_test : public CppUnit::TestFixture
+class response_reader_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(answer_reader_test);
+    CPPUNIT_TEST_SUITE(response_reader_test);
     CPPUNIT_TEST(splitting_does_not_matter);
     CPPUNIT_TEST(a_stream_that_ends_early_is_cut);
     CPPUNIT_TEST(a_duplicate_missing_or_foreign_token_is_wrong);
@@ -84,8 +84,8 @@
                     reader.feed(bytes.substr(at, size), 1);
                     at += size;
                 }
-                RC_ASSERT(reader.answer() == read(bytes));
-                RC_ASSERT(check_response(prompt, count, reader.answer()) ==
+                RC_ASSERT(reader.response() == read(bytes));
+                RC_ASSERT(check_response(prompt, count, reader.response()) ==
                           verdict::complete);
             }));
     }
@@ -148,4 +148,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(answer_reader_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(response_reader_test);
--- a/tests/request/claim_world.hpp
+++ b/tests/request/claim_simulation.hpp
@@ -1,9 +1,9 @@
-#ifndef CAPERPATH_TESTS_REQUEST_CLAIM_WORLD_HPP
-#define CAPERPATH_TESTS_REQUEST_CLAIM_WORLD_HPP
+#ifndef CAPERPATH_TESTS_REQUEST_CLAIM_SIMULATION_HPP
+#define CAPERPATH_TESTS_REQUEST_CLAIM_SIMULATION_HPP
 
-#include "request/turnstile.hpp"
+#include "request/step_gate.hpp"
 
-#include <caperpath/request/claim_run.hpp>
+#include <caperpath/request/claim_store.hpp>
 #include <caperpath/store/memory_table.hpp>
 
 #include <cstdint>
@@ -75,7 +75,7 @@
     int random_below(int limit);
     void call(int router, std::string const& key, std::string const& body);
     void serve(int router, std::string const& key, std::string const& body);
-    void run_claimed(int router, request::begun_claim const& begun,
+    void run_claimed(int router, request::begin_result const& begun,
                      std::string const& key);
     void bill(int router, std::string const& key, std::int64_t tokens);
     void withdraw(int router, request::held_claim const& doubtful);
--- a/tests/router/site.hpp
+++ b/tests/router/site.hpp
@@ -4,7 +4,7 @@
 #include "router/router.hpp"
 #include "stand_in/engine.hpp"
 #include "stand_in/service.hpp"
-#include "store/stand_in.hpp"
+#include "store/store_emulator.hpp"
 
 #include <caperpath/budget/bill.hpp>
 #include <caperpath/store/table.hpp>
@@ -97,7 +97,7 @@
     void start_router(std::size_t index);
     nlohmann::json configuration();
 
-    std::unique_ptr<store::stand_in> table;
+    std::unique_ptr<store::store_emulator> table;
     std::string table_address;
     store::port port;
     std::vector<std::unique_ptr<stand_in::engine>> engines;
--- a/tests/stand_in/running_engine.hpp
+++ b/tests/stand_in/running_engine.hpp
@@ -1,8 +1,8 @@
 #ifndef CAPERPATH_TESTS_STAND_IN_RUNNING_ENGINE_HPP
 #define CAPERPATH_TESTS_STAND_IN_RUNNING_ENGINE_HPP
 
-#include "stand_in/answer.hpp"
 #include "stand_in/engine.hpp"
+#include "stand_in/response_text.hpp"
 
 #include <cstdint>
 #include <string>
@@ -52,7 +52,7 @@
 inline std::string expected_response(std::string const& content)
 {
     auto const prompt = content + "\n";
-    return answer_text(prompt, 0, answer_length(prompt));
+    return response_text(prompt, 0, response_length(prompt));
 }
 
 template <class Holds>
--- a/tests/store/stand_in_test.cpp
+++ b/tests/store/store_emulator_test.cpp
@@ -19,9 +19,9 @@
 
 } // namespace
 
-class stand_in_test : public CppUnit::TestFixture
+class store_emulator_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(stand_in_test);
+    CPPUNIT_TEST_SUITE(store_emulator_test);
     CPPUNIT_TEST(the_vm_list_lags);
     CPPUNIT_TEST(the_example_settings_are_valid);
     CPPUNIT_TEST_SUITE_END();
@@ -30,7 +30,7 @@
     // router must not treat the list as current.
     void the_vm_list_lags()
     {
-        stand_in_settings settings;
+        store_emulator_settings settings;
         settings.list_lag = {2'000};
         fake_platform platform{settings};
         auto const connected = platform.connect();
@@ -57,10 +57,11 @@
     {
         std::ifstream file{CAPERPATH_SOURCE_DIR "/examples/platform.json"};
         std::vector<config::fault> faults;
-        auto const settings = read_stand_in_settings(json::parse(file), faults);
+        auto const settings =
+            read_store_emulator_settings(json::parse(file), faults);
         CPPUNIT_ASSERT(faults.empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, settings.vms.size());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(stand_in_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_emulator_test);
