--- a/include/caperpath/budget/bill.hpp
+++ b/include/caperpath/budget/bill.hpp
@@ -48,14 +48,17 @@
 enum class reserve_verdict
 {
     admitted,   ///< `amount` is reserved until `finish`
-    exhausted,  ///< the paid amount does not cover it: 402
+    exhausted,  ///< not enough tokens. `retry_after` > 0: other routers may
+                ///< return some (429); 0: the paid amount is spent (402)
     undecidable ///< cannot be decided safely now: 503
 };
 
 struct reserve_reply
 {
     reserve_verdict verdict{};
-    duration retry_after{}; ///< when a retry makes sense; 0: never
+    /// When a retry makes sense. 0: a retry cannot succeed, or, for an unknown
+    /// budget (`undecidable`), no delay is known.
+    duration retry_after{};
 
     friend bool operator==(reserve_reply const&,
                            reserve_reply const&) = default;
--- a/include/caperpath/budget/share.hpp
+++ b/include/caperpath/budget/share.hpp
@@ -82,7 +82,7 @@
     budget_id budget;
     config::budget_policy policy{};
     sizing sizes;
-    bool fenced{false}; ///< another router changed the holder row
+    bool fenced{false}; ///< a recovery changed the holder row: no admission
 
     std::optional<seen_budget> seen;
     share_row share;               ///< as last confirmed
@@ -97,8 +97,8 @@
     /// What this router should hold according to the reports of all routers.
     /// Set by the caller; empty while unknown.
     std::optional<allocation> current_allocation;
-    /// This holder has to return tokens that others want or lack: the holders
-    /// with more spare tokens do not cover them.
+    /// True if this holder must return tokens for others: the holders with more
+    /// free tokens together have less than is needed.
     bool must_return{true};
     instant moved_at{}; ///< latest draw or return that no request needed
 
@@ -114,12 +114,14 @@
 
     token_count reserved{};  ///< open reservations
     token_count unsettled{}; ///< finished, not yet in the ledger
-    token_count settled{};   ///< in the ledger, by this incarnation
+    /// Spent for good: in the ledger, sent to other routers, or counted as
+    /// spent by the dead router whose share was taken over.
+    token_count settled{};
     std::unordered_map<request_id, token_count> open;
     std::vector<waiting_reservation> waiting;
 
-    /// While the budget row stays unchanged for long after this wait, another
-    /// wait for at least as much cannot succeed.
+    /// If the budget row has stayed unchanged for long enough after this wait,
+    /// requests for at least as much are rejected without waiting.
     std::optional<unmet_wait> last_unmet_wait;
 
     rate_meter rate;
--- a/include/caperpath/budget/sizing.hpp
+++ b/include/caperpath/budget/sizing.hpp
@@ -33,17 +33,18 @@
 struct sizing
 {
     duration horizon{};  ///< a draw covers this much of the router's traffic
-    duration exposure{}; ///< bills of this much traffic may be unsettled while
-                         ///< their responses end
+    duration exposure{}; ///< responses may end before their bills are in the
+                         ///< ledger, up to the traffic of this time; a
+                         ///< recovery withholds that many tokens
     /// A holder draws when it has less than a fraction of its horizon's need
     /// free. The fraction is random between these two, so that holders that
     /// started together do not all refill at once.
     double lowest_level{0.25};
     double highest_level{0.5};
+    std::int64_t requests_in_draw{2}; ///< not used
     /// A share covers at least the larger of `least_ahead` tokens and
     /// `requests_ahead` times the latest request. A refill draws at least
     /// `requests_ahead` times the latest request.
-    std::int64_t requests_in_draw{2};
     std::int64_t requests_ahead{2};
     token_count least_ahead{};
     /// If set, the tokens held in addition to the need of the traffic are at
--- a/include/caperpath/budget/spend_journal.hpp
+++ b/include/caperpath/budget/spend_journal.hpp
@@ -19,9 +19,10 @@
 /// each second from some time after that. It never spends above these limits. A
 /// successor reads the row, computes the limits at the store time of its own
 /// first write and takes over the tokens above them, however old the row is.
-/// The limits are flat for as long as a crash is more likely than an outage of
-/// the store, and rise afterwards, so that few requests are rejected because a
-/// write is missing.
+/// A limit does not rise for the first `flat_period` after a row: normally a
+/// new row replaces it by then, and a crashed router has been restarted, so
+/// that no growth is lost. It rises only if no row could be written (an outage
+/// of the store), so that few requests are rejected because a write is missing.
 ///
 /// Clocks: a router estimates the store's time as that of the latest
 /// acknowledgement plus its own monotonic time since it was received. This is
@@ -48,8 +49,9 @@
                            spend_limit_curve const&) = default;
 };
 
-/// Spend limits are flat for this long: a router that crashes, alone or with
-/// all others, restarts within this time.
+/// Spend limits do not rise for this long after a row. The time exceeds the
+/// interval between rows, and a router that crashes, alone or with all others,
+/// restarts within it.
 inline constexpr duration flat_period{900};
 
 /// Row `spend/<vm>`. Immutable value.
--- a/src/budget/distribution.cpp
+++ b/src/budget/distribution.cpp
@@ -14,10 +14,10 @@
 {
 
 constexpr double count_lifetime_ms = 10'000;
-/// This fraction of the remaining tokens stays in the budget row: for routers
-/// that run out while the store is reachable, and for all routers if they crash
-/// in an outage of the store, after which most of their tokens count as
-/// spent.
+/// This fraction of the remaining tokens is not distributed. The coordinator's
+/// pool holds up to `pool_requests` requests of it. The rest stays in the
+/// budget row, for routers that run out, and where a crash of all routers in an
+/// outage of the store cannot lose it.
 constexpr double reserve_part = 0.25;
 /// The coordinator's pool covers this many requests of other routers.
 constexpr double pool_requests = 8;
--- a/src/budget/share.cpp
+++ b/src/budget/share.cpp
@@ -163,6 +163,8 @@
     auto const covered =
         reachable &&
         one.amount <= free_tokens(state) + ungranted(state.seen->row);
+    // If covered, the budget has the tokens, but no draw was in time: the
+    // caller may retry.
     if (!reachable || covered)
     {
         return undecidable(state, now);
@@ -234,11 +236,11 @@
     {
         return free;
     }
-    // With this many unsettled bills the response to a new request could not
-    // end.
-    auto const open =
+    // The unsettled bills reach the most that a recovery withholds: the
+    // response to another request could not end before its bill is durable.
+    auto const exposure_used_up =
         state.unsettled > 0 && state.unsettled >= usable(state).exposed;
-    return open ? 0 : free;
+    return exposure_used_up ? 0 : free;
 }
 
 reserve_step reserve(share_state state, reserve_request const& request,
--- a/src/budget/spend_journal.cpp
+++ b/src/budget/spend_journal.cpp
@@ -72,17 +72,19 @@
                : 0;
 }
 
-/// The spend limit by `row`: tokens that a successor would take over by it must
-/// not be spent.
+/// The spend limit by `row`: the held tokens less those that a successor would
+/// take over by it. A budget missing from the row counts as unspent, since its
+/// share row may exist already.
 token_count limit_by(spend_row const& row, budget_id const& budget,
                      held_tokens const& held, std::int64_t store_ms)
 {
     auto const found = row.limits.find(budget);
     auto const curve =
         found == row.limits.end() ? spend_limit_curve{} : found->second;
-    auto const left =
+    auto const successor_gets =
         held.granted + curve.received - value_at(curve, store_ms - row.at_ms);
-    return held.granted + held.received - std::max<token_count>(0, left);
+    return held.granted + held.received -
+           std::max<token_count>(0, successor_gets);
 }
 
 } // namespace
--- a/src/gateway/budget_share_allocation.cpp
+++ b/src/gateway/budget_share_allocation.cpp
@@ -67,6 +67,10 @@
     return std::max(this->routers, reporting + 1);
 }
 
+/// Returns true if the number of routers is reliable: enough time for
+/// heartbeats has passed, or, after a restart into a running fleet, the
+/// heartbeats read (including the own one) outnumber the VMs whose holdings
+/// were received.
 bool budget_share_manager::knows_fleet(instant at) const
 {
     auto const since = at - this->started_at;
@@ -302,12 +306,14 @@
         this->fleet_size(), at);
     auto const free = budget::free_tokens(share);
     auto const wanted = share.seen->row.wanted;
-    auto const waited =
+    // The longer tokens are wanted, the more holders must return some: they are
+    // chosen for 2^doublings times the wanted tokens.
+    auto const doublings =
         (at - share.seen->wanted_since).ms / request_doubling_ms;
     share.must_return =
         wanted > 0
             ? budget::must_return(of.other_holdings, this->vm, free,
-                                  wanted << std::min(waited, most_doublings),
+                                  wanted << std::min(doublings, most_doublings),
                                   this->fleet_size(), at)
             : budget::must_return(of.other_holdings, this->vm, free,
                                   share.current_allocation->others_shortage,
--- a/src/gateway/budget_share_manager.cpp
+++ b/src/gateway/budget_share_manager.cpp
@@ -92,7 +92,10 @@
     if (added)
     {
         of.share = budget::make_share(budget, policy, share_sizes());
-        of.share.last_amount = 1; // draws a first share before any request
+        // An assumed request: a share draws only if it had one.
+        of.share.last_amount = 1;
+        // This program has no holder rows. The version stands for one, because
+        // next_step() takes no step while it is 0.
         of.holder = {this->incarnation, 1};
         auto const drawn =
             fleet::stable_hash(this->incarnation.value + "/" + budget.value) %
@@ -201,8 +204,8 @@
     of.share = std::move(ended.state);
     if (ended.accepted)
     {
-        // No ledger is written here: the share row alone bounds what
-        // is spent.
+        // This program writes no ledger, so the tokens count as settled at
+        // once. The share row alone bounds what is spent.
         of.share = budget::settled(std::move(of.share), ended.cost.tokens);
     }
     this->settle_waiting(of);
--- a/src/gateway/budget_share_manager.hpp
+++ b/src/gateway/budget_share_manager.hpp
@@ -86,9 +86,9 @@
     /// Returns true if all tokens were returned. @pre `close` was called.
     bool closed() const;
 
-    /// Returns true if the share covers `amount` after all waiting
-    /// reservations, and the spend limit will allow it within `wait` without a
-    /// response of the store.
+    /// Returns true if, without another response of the store, the spend limit
+    /// (never above the held tokens) will cover all used and waiting tokens and
+    /// `amount` within `wait`.
     bool covers_within(budget_id const& budget, token_count amount,
                        duration wait) const;
 
@@ -107,7 +107,7 @@
     {
         incarnation_id dead;
         token_count spent{};    ///< upper bound for the dead router
-        token_count received{}; ///< free here after the takeover
+        token_count received{}; ///< by the dead router, from others
         token_count given{};    ///< part of `spent` that went to other routers
         instant next_try{};
         int tries{};
--- a/src/gateway/budget_share_store.cpp
+++ b/src/gateway/budget_share_store.cpp
@@ -65,8 +65,8 @@
 
 void budget_share_manager::write(account& of, store::transaction const& txn)
 {
-    // No other process reclaims shares here, so there is no holder row to
-    // check.
+    // This program has no holder rows to check: only the next process at the
+    // same address takes over a share, after this one is dead.
     auto own = txn;
     std::erase_if(
         own.conditions, [&of](store::condition const& one)
--- a/src/gateway/budget_share_takeover.cpp
+++ b/src/gateway/budget_share_takeover.cpp
@@ -39,7 +39,8 @@
     }
 }
 
-/// Without a share row the dead router held only what other routers gave.
+/// Without a share row the dead router held only what other routers gave. An
+/// undecodable share row counts as none: its tokens stay granted and unused.
 void budget_share_manager::finish_without_share(account& of)
 {
     this->adopt_tokens(of, 0, 0);
--- a/src/gateway/budget_spend_limits.cpp
+++ b/src/gateway/budget_spend_limits.cpp
@@ -10,9 +10,10 @@
 namespace
 {
 
-/// A spend limit starts above the used tokens by the traffic of the interval
-/// between two rows and by half a request; a larger request waits for a row of
-/// its own. Tokens between the use and the limit are lost if the router dies.
+/// A spend limit starts above the used tokens by the traffic of one small-fleet
+/// row interval (in seconds) and by half a request, in a large fleet by less
+/// (see initial_headroom()); a larger request waits for a row of its own.
+/// Tokens between the use and the limit are lost if the router dies.
 constexpr double initial_headroom_seconds = 0.3;
 constexpr double initial_headroom_requests = 0.5;
 /// The loss at a crash grows with the age of the row. In a large fleet each
@@ -21,11 +22,13 @@
 constexpr duration small_fleet_row_interval{300};
 constexpr duration large_fleet_row_interval{600};
 /// Arrivals are uneven, and a router gets more of them when others die. Each
-/// second the limit grows by this multiple of the traffic, and by one large
-/// request for customers that send few. The growth until a successor has the
-/// address is lost, at all routers if all of them crash.
+/// second the limit grows by this multiple of the traffic plus extra_growth().
+/// The growth between a crash and the restart counts as spent and is lost, at
+/// all routers if all of them crash.
 constexpr double traffic_growth_factor = 1.25;
-constexpr double free_spread_seconds = 4;
+/// In a large fleet, extra_growth() releases the free tokens over at least this
+/// time.
+constexpr double min_seconds_to_release_free = 4;
 constexpr double extra_growth_requests = 0.5;
 /// From this many recent requests on, the next one is likely to come soon.
 constexpr double frequent_requests = 2;
@@ -117,7 +120,7 @@
         return of.token_weighted_request();
     }
     auto const free = static_cast<double>(budget::free_tokens(of.share));
-    return std::min(free / free_spread_seconds,
+    return std::min(free / min_seconds_to_release_free,
                     this->typical_request(of) * extra_growth_requests);
 }
 
--- a/src/gateway/crash_rows.hpp
+++ b/src/gateway/crash_rows.hpp
@@ -7,8 +7,9 @@
 #include <string>
 
 /// Keys and values of the rows of requests that crash servers, one row per
-/// request. The suffix of the keys puts all of them into one partition. Thread
-/// safe.
+/// request. The suffix of the keys puts all of them into one partition. The
+/// range holds all keys with the prefix "crash/": '0' follows '/' in ASCII.
+/// Thread safe.
 namespace caperpath::gateway
 {
 
--- a/src/gateway/crash_tracker.cpp
+++ b/src/gateway/crash_tracker.cpp
@@ -15,10 +15,10 @@
 namespace
 {
 
-/// The store reports changes as soon as they are written, so a longer hold only
-/// saves calls. The delay stays bounded: keep-alive probes detect a connection
-/// that goes silent during the longer hold, and another lost store call makes
-/// the follower replace its own.
+/// How long the store may keep a call for changes pending. The store reports
+/// changes as soon as they are written, so a longer time saves calls and delays
+/// nothing, except on a connection that goes silent. Keep-alive probes detect
+/// that, and another lost store call makes the follower replace its own.
 constexpr duration poll_hold{2'000};
 constexpr duration max_poll_hold{15'000};
 /// Batches the requests that one crash ended into one write.
@@ -322,7 +322,8 @@
     if (!txn.writes.empty())
     {
         // On a conflict another router removed one of them; the feed reports
-        // it.
+        // that one. The other rows of a failed write stay in the store, and
+        // this router forgets them until it reads all rows again.
         this->port.commit(txn, [](store::commit_result const&) {});
     }
 }
--- a/src/gateway/crash_tracker.hpp
+++ b/src/gateway/crash_tracker.hpp
@@ -59,8 +59,9 @@
     /// Records that `request` got a complete response.
     void record_response(fleet::fingerprint const& request);
 
-    /// Records that the caller got no response and may retry the request at any
-    /// router.
+    /// Call when a request ends during which a server crashed. Publishes its
+    /// evidence, even of a single crash, since the caller may retry the request
+    /// at any router.
     void record_unanswered(fleet::fingerprint const& request);
 
 private:
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -24,10 +24,10 @@
 /// While the store is unreachable, only tokens that other requests of this
 /// router release can become available.
 constexpr duration max_wait_without_store{20};
-/// A spend limit makes tokens of the share usable some time after the last row
-/// was written. Waiting for that is slow, but faster than a retry by the
-/// caller. Tokens that it does not cover by then are known to be missing at
-/// once.
+/// A spend limit starts to rise `flat_period` after the last row. If it will
+/// cover the amount within this time, waiting is slow, but faster than a retry
+/// by the caller. covers_within() computes in advance whether it will, so no
+/// other request waits this long.
 constexpr duration max_wait_for_spend_limit =
     budget::flat_period + duration{300};
 /// `Retry-After` while this process does not know the configuration.
--- a/src/gateway/share_sizes.cpp
+++ b/src/gateway/share_sizes.cpp
@@ -6,8 +6,9 @@
 namespace
 {
 
-/// A router without the store serves from its shares, and a router that dies
-/// loses them. At the lowest refill level a share still covers a usual outage.
+/// A router without the store serves from its shares; if it dies, the part of
+/// them below the spend limit is lost. At the lowest refill level a share still
+/// covers a usual outage.
 constexpr duration share_horizon{10'000};
 constexpr double lowest_level = 0.75;
 constexpr double highest_level = 0.9;
@@ -15,12 +16,13 @@
 constexpr duration idle_read_interval{2'500};
 constexpr duration near_end_read_interval{400};
 /// Callers keep their connections, so one router may have most of a customer's
-/// traffic, and its share has to last through an outage. At 2, two thirds of
-/// the remaining budget are held in shares, and one third stays for routers
+/// traffic, and its share has to last through an outage. All holders
+/// together draw up to this many times the ungranted tokens: at 2, two thirds
+/// of the remaining budget are held in shares, and one third stays for routers
 /// that run out first.
 constexpr double part_by_traffic = 2;
-/// The tokens kept by a router whose callers have moved on are lost when it is
-/// killed.
+/// A router whose callers have moved on needs few tokens, and those below its
+/// spend limit are lost when it is killed.
 constexpr double idle_factor = 1.6;
 constexpr std::int64_t half_kept_at = 9;
 /// Without a minimum, routers would return tokens one by one at the end of a
--- a/src/gateway/spend_row_writer.cpp
+++ b/src/gateway/spend_row_writer.cpp
@@ -144,8 +144,8 @@
         return;
     }
     // After a failed write a retry is already scheduled. If each waiting
-    // reservation sent another write, a store that rejects at once would get 25
-    // writes a second.
+    // reservation sent another write, a store that rejects at once would get a
+    // write per tick of budget_share_manager, 25 a second.
     if (this->writing || this->journal.pending)
     {
         this->write_again = true;
@@ -161,7 +161,8 @@
         return;
     }
     this->writing = true;
-    // A retried row holds older limits, so a new one follows it.
+    // A pending row makes this write a retry. A retry sends the old row again,
+    // so a row with the current limits must follow.
     this->write_again = this->journal.pending.has_value();
     // A retry has the limits of its first attempt, and so keeps its send time.
     this->sent_at = this->write_again ? this->sent_at : this->now.now();
--- a/src/gateway/spend_row_writer.hpp
+++ b/src/gateway/spend_row_writer.hpp
@@ -35,11 +35,11 @@
     /// Called when the spend limits may have changed.
     std::function<void()> changed;
 
-    /// Called once, before the first limit above zero, with the dead router
-    /// that had this address and the most that it can have spent. From then on
-    /// `required` must hold at least that for each budget whose share may be
-    /// renamed: with a lower limit, a successor would spend the same tokens
-    /// again.
+    /// Called once, before any tokens may be spent, if a dead router had this
+    /// address; `limits` bounds what it spent. As soon as its share row may
+    /// carry this router's key, `required` must return at least these limits:
+    /// otherwise the next successor would count the dead router's spent tokens
+    /// as free.
     std::function<void(
         incarnation_id const& dead,
         std::map<budget_id, budget::spend_limit_curve> const& limits)>
--- a/src/gateway/token_exchange_distribution.cpp
+++ b/src/gateway/token_exchange_distribution.cpp
@@ -16,9 +16,11 @@
 
 constexpr double thousandths = 1'000;
 constexpr duration report_interval{1'000};
-constexpr duration whole_report_interval{5'000};
+/// Even unchanged stocks are reported this often, in case a report was lost.
+constexpr duration full_report_interval{5'000};
 constexpr duration distribution_interval{1'000};
-/// A router without a report for this long holds nothing.
+/// Once peers have been known for this long (a full report interval and a
+/// margin), a router that never reported a budget counts as holding none of it.
 constexpr duration all_reported_after{6'500};
 /// A change of less than this part of the reported value is not reported.
 constexpr double least_reported_change = 0.2;
@@ -53,7 +55,7 @@
         return;
     }
     this->reported_at = now;
-    auto const all = now - this->reported_all_at >= whole_report_interval;
+    auto const all = now - this->reported_all_at >= full_report_interval;
     this->reported_all_at = all ? now : this->reported_all_at;
     for (auto const& budget : this->shares.in_use())
     {
--- a/src/gateway/token_exchange_service.cpp
+++ b/src/gateway/token_exchange_service.cpp
@@ -114,7 +114,9 @@
     auto const& requester = this->peers.at(from).incarnation;
     if (served.requester == requester && request.number <= served.number)
     {
-        return; // its response is under way, and retried if lost
+        // Already served. A transfer is resent until it is confirmed. A lost
+        // rejection is not: the requester times out.
+        return;
     }
     served = {requester, request.number};
     auto const reject = [this, from, request](duration retry_after)
