--- a/include/caperpath/budget/rows.hpp
+++ b/include/caperpath/budget/rows.hpp
@@ -87,7 +87,7 @@
 /// Keys of the rows. Thread safe.
 std::string budget_key(budget_id const& budget);
 /// The holder comes first, so that one scan finds all shares of a dead holder
-/// instead of reads of its share of each of 850,000 budgets.
+/// instead of reads of its share of each of all budgets (up to 850,000).
 std::string share_prefix(incarnation_id const& holder);
 std::string share_key(budget_id const& budget, incarnation_id const& holder);
 std::string holder_key(incarnation_id const& holder);
--- a/include/caperpath/budget/share.hpp
+++ b/include/caperpath/budget/share.hpp
@@ -274,7 +274,9 @@
 /// as they become free and deletes its row when nothing is open. Thread safe.
 share_state close(share_state state);
 
-/// True if this router holds nothing of this budget. Thread safe.
+/// True if this router has no share row of this budget, and no write is in
+/// progress or may still take effect. It may hold tokens received from other
+/// routers, which are never returned to the budget row. Thread safe.
 bool is_closed(share_state const& state);
 
 /// Applies the result of a write that `next_step` returned. Thread safe.
--- a/include/caperpath/budget/sizing.hpp
+++ b/include/caperpath/budget/sizing.hpp
@@ -50,8 +50,9 @@
     /// If set, the tokens held in addition to the need of the traffic are at
     /// most the remainder / (spare_divisor * holders).
     std::int64_t spare_divisor{0};
-    std::int64_t end_divisor{2}; ///< no draw ahead takes more than the
-                                 ///< remainder / (end_divisor * holders)
+    std::int64_t fair_part_divisor{
+        2}; ///< no draw ahead takes more than the
+            ///< remainder / (fair_part_divisor * holders)
     /// If a customer's traffic goes to few routers, an even part of the
     /// remainder is too small for them. If set, a holder keeps up to this many
     /// times the part of the remainder that matches its part of all traffic.
@@ -66,8 +67,8 @@
     /// 0: each returns all.
     std::int64_t half_kept_at{0};
     /// The smallest such return that is worth its write is the wanted tokens
-    /// / (least_return_part * holders). 0: every return is.
-    std::int64_t least_return_part{0};
+    /// / (min_return_divisor * holders). 0: every return is.
+    std::int64_t min_return_divisor{0};
     /// After a wait without success, requests for at least as much are rejected
     /// at once for this long, times the number of holders.
     duration reject_at_once_for{0};
--- a/include/caperpath/budget/spend_journal.hpp
+++ b/include/caperpath/budget/spend_journal.hpp
@@ -84,7 +84,7 @@
     std::optional<instant> last_acknowledged; ///< on this router's clock
     std::int64_t acknowledged_ms{}; ///< the same time on the store's clock
     std::uint64_t version{};        ///< of the row; 0: no row
-    bool fenced{false};             ///< another process has bound the address
+    bool address_lost{false};       ///< another process has bound the address
 
     friend bool operator==(spend_journal const&,
                            spend_journal const&) = default;
@@ -94,9 +94,10 @@
 /// slightly, and a minimum for rounding to whole milliseconds. A fixed margin
 /// would have to cover the longest age, although most routers restart soon.
 inline constexpr std::int64_t clock_margin_divisor = 100;
-inline constexpr duration least_clock_margin{10};
+inline constexpr duration min_clock_margin{10};
 
-/// The tokens that a router holds of one budget. Immutable value.
+/// The tokens that a router has of one budget, spent ones included. Immutable
+/// value.
 struct held_tokens
 {
     token_count granted{};  ///< in its share row
@@ -107,8 +108,8 @@
 
 /// The upper bound on spending of `budget` now. Tokens received after the row
 /// was written are not in it, so no successor takes them over and they may be
-/// spent at once. 0 before the first acknowledgement and while fenced. Thread
-/// safe.
+/// spent at once. 0 before the first acknowledgement and while `address_lost`.
+/// Thread safe.
 token_count spend_limit(spend_journal const& journal, budget_id const& budget,
                         held_tokens const& held, instant now);
 
--- a/include/caperpath/budget/transfer.hpp
+++ b/include/caperpath/budget/transfer.hpp
@@ -42,19 +42,19 @@
 };
 
 /// The transfers to one receiver.
-struct transfer_lane
+struct receiver_transfers
 {
     std::uint64_t last{};
     std::map<std::uint64_t, open_transfer> open;
 
-    friend bool operator==(transfer_lane const&,
-                           transfer_lane const&) = default;
+    friend bool operator==(receiver_transfers const&,
+                           receiver_transfers const&) = default;
 };
 
 /// All transfers that this router sent. Value type.
 struct outbox
 {
-    std::map<incarnation_id, transfer_lane> lanes;
+    std::map<incarnation_id, receiver_transfers> receivers;
 
     friend bool operator==(outbox const&, outbox const&) = default;
 };
--- a/src/budget/share_holdings.cpp
+++ b/src/budget/share_holdings.cpp
@@ -45,8 +45,8 @@
     auto const kept =
         free * sizes.half_kept_at / (holders + sizes.half_kept_at);
     auto const back = free - kept;
-    auto const least = sizes.least_return_part > 0
-                           ? row.wanted / (sizes.least_return_part * holders)
+    auto const least = sizes.min_return_divisor > 0
+                           ? row.wanted / (sizes.min_return_divisor * holders)
                            : 0;
     return back >= least ? back : 0;
 }
--- a/src/budget/share_results.cpp
+++ b/src/budget/share_results.cpp
@@ -65,6 +65,8 @@
 {
     if (found.version == 0 && state.share_version > 0)
     {
+        // While closing, this router itself deleted the row, and the response
+        // was lost.
         state.fenced = !state.closing;
         state.share = {};
         state.share_version = 0;
--- a/src/budget/sizing.cpp
+++ b/src/budget/sizing.cpp
@@ -19,8 +19,8 @@
 constexpr std::int64_t longest_pause_ms = 2'000;
 constexpr int max_doublings = 6;
 constexpr std::int64_t first_conflict_ms = 8;
-constexpr std::int64_t longest_waited_pause_ms = 200;
-constexpr std::int64_t longest_refill_pause_ms = 1'000;
+constexpr std::int64_t max_pause_while_waiting_ms = 200;
+constexpr std::int64_t max_refill_pause_ms = 1'000;
 constexpr std::size_t golden_ratio = 0x9E3779B97F4A7C15;
 constexpr int mixing_shift = 32;
 constexpr double two_to_32 = 4'294'967'296.0;
@@ -82,7 +82,7 @@
 {
     auto const holders =
         std::max<std::int64_t>(1, row.holders + (newcomer ? 1 : 0));
-    return ungranted(row) / (sizes.end_divisor * holders);
+    return ungranted(row) / (sizes.fair_part_divisor * holders);
 }
 
 token_count draw_size(budget_row const& row, token_count need, token_count free,
@@ -131,7 +131,7 @@
         return {0};
     }
     auto const longest =
-        reservation_waits ? longest_waited_pause_ms : longest_refill_pause_ms;
+        reservation_waits ? max_pause_while_waiting_ms : max_refill_pause_ms;
     auto const doublings = std::clamp(conflicts, 0, max_doublings);
     auto const range = std::min(longest, first_conflict_ms << doublings);
     auto const part =
--- a/src/budget/spend_journal.cpp
+++ b/src/budget/spend_journal.cpp
@@ -148,7 +148,7 @@
 token_count spend_limit(spend_journal const& journal, budget_id const& budget,
                         held_tokens const& held, instant now)
 {
-    if (journal.fenced || !journal.last_acknowledged)
+    if (journal.address_lost || !journal.last_acknowledged)
     {
         return 0;
     }
@@ -214,7 +214,7 @@
     }
     auto const since = dead_ms - row.at_ms;
     auto const later =
-        since + since / clock_margin_divisor + least_clock_margin.ms;
+        since + since / clock_margin_divisor + min_clock_margin.ms;
     std::map<budget_id, spend_limit_curve> all;
     for (auto const& [budget, curve] : row.limits)
     {
--- a/src/gateway/budget_share_manager.hpp
+++ b/src/gateway/budget_share_manager.hpp
@@ -83,7 +83,9 @@
     /// no further reservation.
     void close();
 
-    /// Returns true if all tokens were returned. @pre `close` was called.
+    /// Returns true if no share row is left and, in a large fleet, a spend row
+    /// written after `close` leaves the tokens received from other routers to
+    /// the successor. @pre `close` was called.
     bool closed() const;
 
     /// Returns true if, without another response of the store, the spend limit
@@ -96,8 +98,9 @@
     /// only reject requests. Returns true if no customer has a budget.
     bool has_read_a_budget() const;
 
-    /// Returns true if the first share of each budget was drawn, or the draw
-    /// was tried several times.
+    /// Returns true, in a small fleet, if each budget has a share row or its
+    /// last four writes lost a conflict (the router then serves without a
+    /// share); in a large fleet, if has_read_a_budget().
     bool ready() const;
 
 private:
--- a/src/gateway/budget_share_takeover.cpp
+++ b/src/gateway/budget_share_takeover.cpp
@@ -142,6 +142,7 @@
     auto const* const share = std::get_if<budget::share_row>(&text);
     if (version == 0 || share == nullptr)
     {
+        // No share row, or an undecodable one.
         this->finish_without_share(of);
         return;
     }
--- a/src/gateway/crash_tracker.cpp
+++ b/src/gateway/crash_tracker.cpp
@@ -129,7 +129,7 @@
     }
 }
 
-void crash_tracker::record_unanswered(fleet::fingerprint const& request)
+void crash_tracker::publish_evidence(fleet::fingerprint const& request)
 {
     if (this->evidence(request).crashes > 0 && !this->rows.contains(request))
     {
--- a/src/gateway/crash_tracker.hpp
+++ b/src/gateway/crash_tracker.hpp
@@ -60,9 +60,9 @@
     void record_response(fleet::fingerprint const& request);
 
     /// Call when a request ends during which a server crashed. Publishes its
-    /// evidence, even of a single crash, since the caller may retry the request
-    /// at any router.
-    void record_unanswered(fleet::fingerprint const& request);
+    /// evidence, even of a single crash, unless a response has cleared it: the
+    /// caller may retry the request at any router.
+    void publish_evidence(fleet::fingerprint const& request);
 
 private:
     using evidence_map = std::map<fleet::fingerprint, fleet::crash_evidence>;
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -227,7 +227,8 @@
     co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<rejection>> measure(exchange& current)
+asio::awaitable<std::optional<rejection>>
+set_service_and_limits(exchange& current)
 {
     auto const& route = *current.route;
     auto const hash = fleet::stable_hash(current.facts.id);
@@ -290,6 +291,8 @@
     };
     while (!*reply && !caller_disconnected(current) && !is_over())
     {
+        // Only wakes up the loop: the reply is due at `wait`, and may be up to
+        // a tick late.
         auto const until = began + wait + duration{100};
         static_cast<void>(
             co_await wait_until(current, current.deadline_from_stop
@@ -331,8 +334,8 @@
     static constexpr std::array<named_filter, 7> all{
         {{"find_route", find_route},
          {"identify", identify},
-         {"measure", measure},
-         {"admit", admit},
+         {"measure", set_service_and_limits},
+         {"admit", check_stopping},
          {"quarantine", quarantine},
          {"reserve", reserve},
          {"dispatch", dispatch}}};
@@ -355,7 +358,7 @@
     }
     if (current.server_crashed)
     {
-        current.shared.crashes.record_unanswered(*current.fingerprint);
+        current.shared.crashes.publish_evidence(*current.fingerprint);
     }
     end_probation(current);
     release_tokens(current);
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -113,8 +113,9 @@
 
 asio::awaitable<std::optional<rejection>> find_route(exchange& current);
 asio::awaitable<std::optional<rejection>> identify(exchange& current);
-asio::awaitable<std::optional<rejection>> measure(exchange& current);
-asio::awaitable<std::optional<rejection>> admit(exchange& current);
+asio::awaitable<std::optional<rejection>>
+set_service_and_limits(exchange& current);
+asio::awaitable<std::optional<rejection>> check_stopping(exchange& current);
 asio::awaitable<std::optional<rejection>> quarantine(exchange& current);
 asio::awaitable<std::optional<rejection>> reserve(exchange& current);
 asio::awaitable<std::optional<rejection>> dispatch(exchange& current);
--- a/src/gateway/exchange_stop.cpp
+++ b/src/gateway/exchange_stop.cpp
@@ -40,7 +40,7 @@
 /// A stopping process accepts only requests that it is expected to finish. A
 /// rejected caller retries over a new connection, which the balancer sends to
 /// another router.
-asio::awaitable<std::optional<rejection>> admit(exchange& current)
+asio::awaitable<std::optional<rejection>> check_stopping(exchange& current)
 {
     auto const& stop = current.shared.stop;
     if (!stop)
--- a/src/gateway/peer_packet.cpp
+++ b/src/gateway/peer_packet.cpp
@@ -39,7 +39,7 @@
 
 bool is_valid(peer_packet const& packet)
 {
-    auto const all_positive = [](auto const& entries)
+    auto const none_negative = [](auto const& entries)
     {
         for (auto const& one : entries)
         {
@@ -50,8 +50,9 @@
         }
         return true;
     };
-    return all_positive(packet.transfers) &&
-           all_positive(packet.token_requests) && all_positive(packet.recalls);
+    return none_negative(packet.transfers) &&
+           none_negative(packet.token_requests) &&
+           none_negative(packet.recalls);
 }
 
 } // namespace
--- a/src/gateway/peer_packet.hpp
+++ b/src/gateway/peer_packet.hpp
@@ -62,8 +62,8 @@
 struct peer_packet
 {
     incarnation_id from;
-    /// Incarnation of the receiver, empty if unknown. It matters for transfers
-    /// and confirmations.
+    /// Incarnation of the receiver, empty if unknown. Another incarnation
+    /// ignores the transfers and confirmations.
     incarnation_id to;
     std::int64_t all_requests{}; ///< recent count of the sender, in thousandths
     std::vector<budget::transfer> transfers;
--- a/src/gateway/server_call_relay.cpp
+++ b/src/gateway/server_call_relay.cpp
@@ -120,6 +120,8 @@
         {
             break;
         }
+        // While reading pauses, unread input may still complete the response,
+        // so a closed connection does not end it.
         auto const end = fault || !may_read ? fault : this->early_end();
         if (end)
         {
--- a/src/gateway/share_sizes.cpp
+++ b/src/gateway/share_sizes.cpp
@@ -20,14 +20,14 @@
 /// together draw up to this many times the ungranted tokens: at 2, two thirds
 /// of the remaining budget are held in shares, and one third stays for routers
 /// that run out first.
-constexpr double part_by_traffic = 2;
+constexpr double held_per_ungranted = 2;
 /// A router whose callers have moved on needs few tokens, and those below its
 /// spend limit are lost when it is killed.
 constexpr double idle_factor = 1.6;
 constexpr std::int64_t half_kept_at = 9;
 /// Without a minimum, routers would return tokens one by one at the end of a
 /// budget, too few for any request.
-constexpr std::int64_t least_return_part = 2;
+constexpr std::int64_t min_return_divisor = 2;
 /// Per router: the time in which the other routers read the row.
 constexpr duration reject_at_once{12};
 /// Without this divisor, the spare tokens of many routers would exceed the paid
@@ -46,10 +46,10 @@
     all.exposure = duration{0};
     all.requests_ahead = 1;
     all.requests_in_draw = 0;
-    all.part_by_traffic = part_by_traffic;
+    all.part_by_traffic = held_per_ungranted;
     all.idle_factor = idle_factor;
     all.half_kept_at = half_kept_at;
-    all.least_return_part = least_return_part;
+    all.min_return_divisor = min_return_divisor;
     all.reject_at_once_for = reject_at_once;
     all.spare_divisor = spare_divisor;
     all.look_per_holder = read_interval_per_holder;
--- a/src/gateway/spend_row_writer.cpp
+++ b/src/gateway/spend_row_writer.cpp
@@ -133,13 +133,13 @@
     {
         this->listener.inherit(this->previous->router, *spent);
     }
-    this->started = true;
+    this->first_row_written = true;
     this->write();
 }
 
 void spend_row_writer::write_soon()
 {
-    if (!this->started || this->journal.fenced)
+    if (!this->first_row_written || this->journal.address_lost)
     {
         return;
     }
@@ -203,7 +203,7 @@
         auto const* const in_store = std::get_if<budget::spend_row>(&found);
         auto const is_own = in_store != nullptr &&
                             in_store->router == this->journal.written.router;
-        this->journal.fenced = in_store != nullptr && !is_own;
+        this->journal.address_lost = in_store != nullptr && !is_own;
         this->journal.version = row.version;
         if (is_own)
         {
@@ -213,7 +213,7 @@
         was_applied = was_applied || is_own;
     }
     this->listener.changed();
-    if (this->journal.fenced)
+    if (this->journal.address_lost)
     {
         this->log.write(log_weight::notable, "spend_row",
                         {{"outcome", "another process has this address"}});
@@ -231,8 +231,9 @@
                                     budget::held_tokens const& held,
                                     instant at) const
 {
-    return this->started ? budget::spend_limit(this->journal, budget, held, at)
-                         : 0;
+    return this->first_row_written
+               ? budget::spend_limit(this->journal, budget, held, at)
+               : 0;
 }
 
 bool spend_row_writer::has_written_since(instant at) const
@@ -242,7 +243,7 @@
 
 bool spend_row_writer::ready() const
 {
-    return this->started;
+    return this->first_row_written;
 }
 
 } // namespace caperpath::gateway
--- a/src/gateway/spend_row_writer.hpp
+++ b/src/gateway/spend_row_writer.hpp
@@ -101,7 +101,7 @@
     instant sent_at{};              ///< send time of the write under way
     instant acknowledged_sent_at{}; ///< send time of the acknowledged row
     bool writing{false};
-    bool started{false};
+    bool first_row_written{false}; ///< and the previous row was read
     bool write_again{false};
 };
 
--- a/src/gateway/token_exchange.cpp
+++ b/src/gateway/token_exchange.cpp
@@ -142,6 +142,7 @@
 peer_packet& token_exchange::packet_to(vm_id const& to)
 {
     auto& packet = this->packets[to];
+    // A confirmation is only a number: two count as one entry.
     auto const entries = packet.transfers.size() + packet.reports.size() +
                          packet.token_requests.size() +
                          packet.token_rejections.size() +
--- a/src/gateway/token_exchange.hpp
+++ b/src/gateway/token_exchange.hpp
@@ -62,7 +62,8 @@
     std::function<void(budget_id const&)> draw_alone;
 };
 
-/// Moves tokens between the shares of a large fleet's routers by datagrams.
+/// Moves tokens between the shares of a large fleet's routers by datagrams. A
+/// `vm_id` holds a router's datagram address ("IP:port") here.
 ///
 /// Each budget has a coordinator, the first of its VMs by a hash. It draws from
 /// the budget row, distributes most of the budget over the routers ahead of
@@ -155,7 +156,7 @@
         std::optional<open_request> pending;
         std::optional<recent_rejection> rejected;
         stock_report reported;
-        instant reported_at{};
+        instant reported_at{};                   ///< not used
         std::map<vm_id, reported_stock> routers; ///< as coordinator
         std::map<vm_id, served_request> served;
     };
--- a/tests/budget/share_end_test.cpp
+++ b/tests/budget/share_end_test.cpp
@@ -28,7 +28,7 @@
         sizes.horizon = duration{10'000};
         sizes.part_by_traffic = 2;
         sizes.half_kept_at = 9;
-        sizes.least_return_part = 2;
+        sizes.min_return_divisor = 2;
         sizes.reject_at_once_for = duration{12};
         sizes.requests_in_draw = 0;
         return sizes;
--- a/tests/budget/spend_journal_test.cpp
+++ b/tests/budget/spend_journal_test.cpp
@@ -183,7 +183,7 @@
     void a_fenced_router_spends_nothing()
     {
         auto journal = acknowledged_at(start, 5'000, {300, 100});
-        journal.fenced = true;
+        journal.address_lost = true;
         CPPUNIT_ASSERT_EQUAL(
             token_count{0},
             spend_limit(journal, taller, {900, 0}, start + duration{3'000}));
