--- a/include/caperpath/fleet/attempt.hpp
+++ b/include/caperpath/fleet/attempt.hpp
@@ -6,8 +6,8 @@
 
 #include <cstdint>
 
-/// Decides what follows from the result of one attempt at a server. Pure
-/// functions.
+/// Decides what follows from the result of one attempt at a server: one send of
+/// a request to one server. Pure functions.
 namespace caperpath::fleet
 {
 
@@ -38,8 +38,8 @@
 };
 
 /// The most attempts of any result. Each attempt that did not run costs the
-/// caller a round trip; after this many the servers are in a state in which the
-/// caller had better wait.
+/// caller a round trip; after this many the servers are overloaded or failing,
+/// and the caller should wait before it retries.
 inline constexpr std::int64_t max_sends = 4;
 
 /// True if the request may run more than once.
@@ -51,7 +51,7 @@
 
 /// The HTTP status of the final response to a request without a response from a
 /// server. It says "not run" (503) only if no server can have run the request:
-/// the caller then retries, and an order that did run would be placed twice.
+/// the caller then retries, and a request that did run would take effect twice.
 /// Thread safe.
 int final_status(attempt_state const& state, attempt_outcome end);
 
--- a/include/caperpath/fleet/crash_record.hpp
+++ b/include/caperpath/fleet/crash_record.hpp
@@ -23,7 +23,9 @@
 namespace caperpath::fleet
 {
 
-/// Evidence against one request. Immutable value; of two, the greater applies.
+/// Evidence against one request. Immutable value. Of two, the greater
+/// applies: `cleared` is compared first, so that a complete response outranks
+/// the crashes counted before it.
 struct crash_evidence
 {
     std::uint64_t cleared{}; ///< complete responses after a crash
@@ -44,7 +46,7 @@
 };
 
 /// Thread safe.
-crash_verdict judge(crash_evidence const& of);
+crash_verdict judge(crash_evidence const& evidence);
 
 /// The entry of a request that was present at a crash.
 struct crash_entry
@@ -64,29 +66,32 @@
 };
 
 /// Thread safe.
-crash_evidence evidence_of(crash_record const& in, fingerprint const& request);
+crash_evidence evidence_of(crash_record const& record,
+                           fingerprint const& request);
 
 /// Records a crash of a server that was running `request`. `known` is the
-/// evidence at the time the request was sent. Returns the evidence now. Thread
-/// safe.
-crash_evidence note_crash(crash_record& in, fingerprint const& request,
+/// evidence at the time the request was sent, to which one crash is added:
+/// simultaneous crashes of several servers begin with the same evidence and so
+/// count once. Returns the evidence now. Thread safe.
+crash_evidence note_crash(crash_record& record, fingerprint const& request,
                           crash_evidence const& known, instant now);
 
 /// Records a complete response. Returns true if it cleared the request. Thread
 /// safe.
-bool note_response(crash_record& in, fingerprint const& request, instant now);
+bool note_response(crash_record& record, fingerprint const& request,
+                   instant now);
 
 /// Merges another router's evidence. Returns true if it was new. Thread safe.
-bool merge_evidence(crash_record& in, fingerprint const& request,
+bool merge_evidence(crash_record& record, fingerprint const& request,
                     crash_evidence const& reported, instant now);
 
 /// Removes the entries that were not renewed within their lifetime and returns
 /// their requests. Thread safe.
-std::vector<fingerprint> forget_old(crash_record& in, instant now);
+std::vector<fingerprint> forget_old(crash_record& record, instant now);
 
 /// The remaining quarantine of `request`; 0 if it is not quarantined. Thread
 /// safe.
-duration quarantine_left(crash_record const& in, fingerprint const& request,
+duration quarantine_left(crash_record const& record, fingerprint const& request,
                          instant now);
 
 inline constexpr std::int64_t crashes_to_probation = 2;
--- a/include/caperpath/fleet/membership.hpp
+++ b/include/caperpath/fleet/membership.hpp
@@ -40,7 +40,7 @@
     std::string address;
     std::uint64_t version{};
     instant changed_at{};  ///< end of the first read with this version
-    instant observed_at{}; ///< the same, in `membership::observed` time
+    instant observed_at{}; ///< value of `membership::observed` at that time
 
     friend bool operator==(member const&, member const&) = default;
 };
@@ -51,9 +51,11 @@
     std::map<incarnation_id, member> members;
     /// Routers missing from a read, with the time the read ended.
     std::map<incarnation_id, instant> removed;
-    /// Observed time: advances with successful reads only. A lifetime on the
-    /// clock would expire during an outage of the store, when no renewal can
-    /// be read, and every router would count the others as dead.
+    /// Time for which this router has observed the rows: the sum of the
+    /// intervals between successful reads, where a longer gap (an outage of the
+    /// store) counts as `heartbeat_interval`. Lifetimes of rows use it: on the
+    /// clock they would expire during an outage, when no renewal can be read,
+    /// and every router would count the others as dead.
     instant observed{};
     call_times read; ///< the latest read; 0 before the first
 
@@ -62,7 +64,8 @@
 
 inline constexpr duration heartbeat_interval{4'000};
 /// Tolerates three missed heartbeats, since the store can be unavailable for
-/// seconds.
+/// seconds: with a read every 4 s, a row that is unchanged for three reads (12
+/// s) is live, one that is unchanged for four (16 s) is dead.
 inline constexpr duration member_lifetime{14'000};
 /// Each read transfers all n rows, so the interval grows with n to keep the
 /// bytes per second constant.
@@ -79,8 +82,9 @@
 
 /// The state after one read of all heartbeat rows. The age of a row counts from
 /// its last change on this router's clock, since other routers' clocks may
-/// jump. A gap in which reads failed counts as one heartbeat, since renewals
-/// may have failed as well. Thread safe.
+/// jump. If two reads are further apart than `read_interval` +
+/// `heartbeat_interval`, the age grows by `heartbeat_interval` only, since
+/// renewals may have failed as well. Thread safe.
 membership update_membership(membership known,
                              std::vector<heartbeat> const& rows,
                              call_times const& read);
@@ -89,8 +93,9 @@
 /// 1. Thread safe.
 std::int64_t live_router_count(membership const& known);
 
-/// The number of VMs with a live router; routers at the same address count
-/// once. At least 1. Thread safe.
+/// The number of VMs with a live router; at least 1. Counts addresses, since
+/// all routers of a VM (the old and the new one during a restart) have the same
+/// one. Thread safe.
 std::int64_t alive_vms(membership const& known);
 
 /// The live routers by their address for messages. Of two at one address, the
--- a/include/caperpath/fleet/placement.hpp
+++ b/include/caperpath/fleet/placement.hpp
@@ -68,7 +68,8 @@
     /// 1,000 tokens of running requests; from the same sheet.
     double step_ms{2.2};
     double step_ms_per_1000_tokens{0.0175};
-    /// Steps from the end of prefill to the first event: one event's tokens.
+    /// Batch steps from the end of prefill to the first event. A step makes one
+    /// token for each request, so this is the number of tokens in an event.
     double steps_to_first_event{9.0};
     /// Mean tokens in memory of a request from another router, whose size this
     /// router does not know.
@@ -84,10 +85,10 @@
 /// A server's load report is ignored from this age on.
 inline constexpr duration report_lifetime{1'000};
 
-/// The expected time in ms until `one` begins its response to `item`.
+/// The expected time in ms until `target` begins its response to `item`.
 /// `holds_prefix`: whether the server is assumed to have the shared prefix in
 /// memory. Thread safe.
-double expected_ms(server const& one, service const& of,
+double expected_ms(server const& target, service const& of,
                    placement_request const& item, bool holds_prefix,
                    engine_speed const& speed, instant now);
 
--- a/include/caperpath/fleet/readiness.hpp
+++ b/include/caperpath/fleet/readiness.hpp
@@ -10,8 +10,11 @@
 /// What a starting router has received so far. Immutable value.
 struct start_progress
 {
+    /// A budget was read from the store, or no customer has one.
     bool has_read_a_budget{false};
-    bool has_shares{false}; ///< of every budget
+    /// Each budget has a share here or met several conflicts in the store. In a
+    /// large fleet, the same as `has_read_a_budget`.
+    bool has_shares{false};
     /// It has read the crash record.
     bool knows_crashes{false};
     bool store_reachable{true};
--- a/include/caperpath/fleet/retry_window.hpp
+++ b/include/caperpath/fleet/retry_window.hpp
@@ -73,8 +73,8 @@
     struct counts
     {
         std::deque<instant> requests; ///< of the last two windows
-        std::deque<instant> repeats;  ///< retries of the last window
-        std::int64_t denied{};
+        std::deque<instant> retries;  ///< retries of the last window
+        std::int64_t rejected{};
     };
 
     counts& current(service_id const& service, instant now);
--- a/include/caperpath/fleet/server_table.hpp
+++ b/include/caperpath/fleet/server_table.hpp
@@ -110,25 +110,25 @@
 std::vector<backend_server_id> sweep_servers(server_table& table, instant now);
 
 /// True if new requests may be sent to the server. Thread safe.
-bool usable(server const& one, instant now);
+bool usable(server const& target, instant now);
 
 /// True if the server takes no new requests: it reports that it is draining, or
 /// its entry is gone.
-bool is_draining(server const& one, instant now);
+bool is_draining(server const& target, instant now);
 
 /// Records a failure caused by the server. After `failures_to_set_aside` in a
 /// row the server gets no requests for a time that doubles with each further
-/// series. A `decisive` failure (connection refused or no response) counts as
-/// a whole series. Thread safe.
-void note_failure(server& one, bool decisive, instant now);
+/// such series, up to `longest_set_aside`. A `decisive` failure (connection
+/// refused or no response) counts as a whole series. Thread safe.
+void note_failure(server& target, bool decisive, instant now);
 
 /// Records that another server responded at its address: this one has ended and
 /// gets no more requests, even if the store cannot be read. Thread safe.
-void note_replaced(server& one, instant now);
+void note_replaced(server& target, instant now);
 
 /// Records a success: the response began `took` after the request was sent, and
 /// `expected` was the estimate. Thread safe.
-void note_success(server& one, duration took, duration expected);
+void note_success(server& target, duration took, duration expected);
 
 /// Entries that lapsed in an outage of the store return within about two
 /// seconds of its end; this adds a margin.
--- a/include/caperpath/fleet/service_times.hpp
+++ b/include/caperpath/fleet/service_times.hpp
@@ -29,8 +29,9 @@
 /// Returns `before` with an added observation of `took`. Thread safe.
 time_histogram observed(time_histogram before, duration took, instant now);
 
-/// The `quantile` (0 to 1) of the durations, overestimated by a quarter at
-/// most; empty without observations. Thread safe.
+/// The `quantile` (0 to 1) of the durations, overestimated by at most a fifth
+/// and 1 ms. Durations above seven minutes (the last bucket) count as that
+/// long. Empty without observations. Thread safe.
 std::optional<duration> quantile_of(time_histogram const& times,
                                     double quantile);
 
--- a/include/caperpath/fleet/shutdown.hpp
+++ b/include/caperpath/fleet/shutdown.hpp
@@ -28,7 +28,8 @@
 {
     bool requests{false};    ///< read, or being read, without a final response
     bool connections{false}; ///< open ones, idle or not
-    /// When the return of shares began; empty once all are returned.
+    /// The time from which the wait for the return of shares counts; empty once
+    /// all are returned.
     std::optional<instant> returning_since;
 
     friend bool operator==(shutdown_work const&,
@@ -39,10 +40,10 @@
 /// later. Thread safe. @pre `grace` is not negative.
 shutdown_schedule schedule_shutdown(instant began, duration grace);
 
-/// The earliest time at which a signal that is handled `now` may have arrived.
-/// An overloaded event loop handles it late, and the time to the kill counts
-/// from the signal. `before_last` is the time of the second last run of the
-/// timer with period `interval`. Thread safe.
+/// The time at which to assume that a signal handled `now` arrived: `now`, or,
+/// if the event loop is late, `before_last`, the time of the second last run of
+/// its timer with period `interval`. The time to the kill counts from the
+/// signal. Thread safe.
 instant signal_time(instant before_last, instant now, duration interval);
 
 /// True if a request that arrives `now` should be started: it is expected to
--- a/include/caperpath/fleet/site.hpp
+++ b/include/caperpath/fleet/site.hpp
@@ -44,18 +44,20 @@
     request_kind kind{request_kind::non_idempotent};
     std::vector<weighted_service> services;
     duration timeout{};          ///< the longest time that a request is kept
-    duration answer_goal{};      ///< to the response or its first part
+    duration answer_goal{};      ///< to the begin of the response or its
+                                 ///< first event
     duration gap_goal{};         ///< between two events of a stream
     std::int64_t max_servers{1}; ///< how many servers may run one attempt
     std::int64_t priority{};     ///< 0 is the most urgent
     bool needs_key{true};
-    bool has_prompt{false}; ///< requests carry tokens and prompt parts
+    bool has_prompt{false}; ///< requests carry a prompt, counted in tokens
     bool resumable{false};  ///< a broken stream may resume at another server
 
     friend bool operator==(route const&, route const&) = default;
 };
 
-/// A kind of backend server. In a plain service the numbers are 0.
+/// A kind of backend server. A plain service (no language model) has 0 for
+/// `batch_slots`, `memory_tokens` and `tokens_per_event`.
 struct service
 {
     service_id id;
@@ -73,7 +75,7 @@
 {
     customer_id id;
     std::optional<std::int64_t> priority; ///< overrides the route's priority
-    std::optional<token_count> paid;      ///< no budget if empty
+    std::optional<token_count> paid;      ///< empty: no limit on tokens
     std::vector<std::string> keys;
 
     friend bool operator==(customer const&, customer const&) = default;
@@ -85,6 +87,7 @@
     std::size_t header_bytes{16'384};
     std::size_t body_bytes{4'194'304};
     duration header_timeout{3'000};
+    /// For the next request of a connection, and for a whole body.
     duration idle_timeout{15'000};
 
     friend bool operator==(caller_limits const&,
--- a/include/caperpath/fleet/uplink.hpp
+++ b/include/caperpath/fleet/uplink.hpp
@@ -27,7 +27,7 @@
 struct uplink
 {
     duration unconfirmed_for{}; ///< since the store confirmed the configuration
-    instant updated_at{-1'000'000};
+    instant updated_at{-1'000'000}; ///< initially before any time
     instant window_began{};
     connect_results current;
     connect_results previous;
@@ -37,20 +37,20 @@
 };
 
 /// Records that the store confirmed the newest configuration. Thread safe.
-uplink note_configuration_confirmed(uplink of);
+uplink note_configuration_confirmed(uplink link);
 
 /// Records whether a server responded to a connect. Thread safe.
-uplink note_connect_result(uplink of, bool answered, instant now);
+uplink note_connect_result(uplink link, bool answered, instant now);
 
-/// Advances the state to `now`. Only `max_update_gap` of a longer gap between
-/// calls counts: the process did not run in it, which says nothing about the
-/// link. Thread safe.
-uplink advance_time(uplink of, instant now);
+/// Adds the time since the last call to `unconfirmed_for`, at most
+/// `max_update_gap`: in a longer gap the process did not run, so a missing
+/// confirmation says nothing about the link. Thread safe.
+uplink advance_time(uplink link, instant now);
 
-/// True if new callers should go to other routers: the configuration is not
-/// confirmed and most connects get no response, now or within `shedding_time`.
-/// Thread safe.
-bool sheds_callers(uplink const& of, instant now);
+/// True if new callers should go to other routers: in the last `shedding_time`,
+/// the configuration was unconfirmed for more than `max_configuration_age`
+/// while most of the recent connects got no response. Thread safe.
+bool sheds_callers(uplink const& link, instant now);
 
 /// Twice the interval at which the store responds to a follower of an unchanged
 /// configuration, and less than the time a configuration takes to come into
@@ -59,7 +59,8 @@
 
 inline constexpr duration max_update_gap{200};
 
-/// A load balancer takes about two seconds to react. Callers that returned
+/// A load balancer removes a router after two failed probes, one second apart,
+/// so it takes up to two seconds to react. Callers that returned
 /// earlier would find the link still saturated.
 inline constexpr duration shedding_time{4'000};
 
--- a/src/fleet/crash_record.cpp
+++ b/src/fleet/crash_record.cpp
@@ -8,62 +8,64 @@
 namespace
 {
 
-duration lifetime(crash_entry const& of)
+duration lifetime(crash_entry const& entry)
 {
-    return judge(of.evidence) == crash_verdict::quarantined ? quarantine_time
-                                                            : suspicion_time;
+    return judge(entry.evidence) == crash_verdict::quarantined ? quarantine_time
+                                                               : suspicion_time;
 }
 
 /// If the record is full, evicts the oldest of the entries with the fewest
 /// crashes.
-void make_room(crash_record& in)
+void make_room(crash_record& record)
 {
-    if (in.entries.size() < most_crash_entries)
+    if (record.entries.size() < most_crash_entries)
     {
         return;
     }
     auto const less = [](auto const& a, auto const& b)
     {
-        auto const rank = [](crash_entry const& of)
+        auto const rank = [](crash_entry const& entry)
         {
-            return std::pair{of.evidence.crashes, of.noted_at};
+            return std::pair{entry.evidence.crashes, entry.noted_at};
         };
         return rank(a.second) < rank(b.second);
     };
-    in.entries.erase(
-        std::min_element(in.entries.begin(), in.entries.end(), less));
+    record.entries.erase(
+        std::min_element(record.entries.begin(), record.entries.end(), less));
 }
 
 } // namespace
 
-crash_verdict judge(crash_evidence const& of)
+crash_verdict judge(crash_evidence const& evidence)
 {
-    if (of.crashes >= crashes_to_quarantine)
+    if (evidence.crashes >= crashes_to_quarantine)
     {
         return crash_verdict::quarantined;
     }
-    if (of.crashes >= crashes_to_probation)
+    if (evidence.crashes >= crashes_to_probation)
     {
         return crash_verdict::on_probation;
     }
-    return of.crashes > 0 ? crash_verdict::suspected : crash_verdict::clear;
+    return evidence.crashes > 0 ? crash_verdict::suspected
+                                : crash_verdict::clear;
 }
 
-crash_evidence evidence_of(crash_record const& in, fingerprint const& request)
+crash_evidence evidence_of(crash_record const& record,
+                           fingerprint const& request)
 {
-    auto const found = in.entries.find(request);
-    return found == in.entries.end() ? crash_evidence{}
-                                     : found->second.evidence;
+    auto const found = record.entries.find(request);
+    return found == record.entries.end() ? crash_evidence{}
+                                         : found->second.evidence;
 }
 
-bool merge_evidence(crash_record& in, fingerprint const& request,
+bool merge_evidence(crash_record& record, fingerprint const& request,
                     crash_evidence const& reported, instant now)
 {
-    auto found = in.entries.find(request);
-    if (found == in.entries.end())
+    auto found = record.entries.find(request);
+    if (found == record.entries.end())
     {
-        make_room(in);
-        found = in.entries.emplace(request, crash_entry{}).first;
+        make_room(record);
+        found = record.entries.emplace(request, crash_entry{}).first;
     }
     else if (reported <= found->second.evidence)
     {
@@ -73,26 +75,27 @@
     return true;
 }
 
-crash_evidence note_crash(crash_record& in, fingerprint const& request,
+crash_evidence note_crash(crash_record& record, fingerprint const& request,
                           crash_evidence const& known, instant now)
 {
     auto updated = known;
     updated.crashes = std::min(updated.crashes + 1, crashes_to_quarantine);
-    merge_evidence(in, request, updated, now);
-    return evidence_of(in, request);
+    merge_evidence(record, request, updated, now);
+    return evidence_of(record, request);
 }
 
-bool note_response(crash_record& in, fingerprint const& request, instant now)
+bool note_response(crash_record& record, fingerprint const& request,
+                   instant now)
 {
-    auto const known = evidence_of(in, request);
+    auto const known = evidence_of(record, request);
     return known.crashes > 0 &&
-           merge_evidence(in, request, {known.cleared + 1, 0}, now);
+           merge_evidence(record, request, {known.cleared + 1, 0}, now);
 }
 
-std::vector<fingerprint> forget_old(crash_record& in, instant now)
+std::vector<fingerprint> forget_old(crash_record& record, instant now)
 {
     std::vector<fingerprint> expired;
-    for (auto const& [request, entry] : in.entries)
+    for (auto const& [request, entry] : record.entries)
     {
         if (now - entry.noted_at >= lifetime(entry))
         {
@@ -101,16 +104,16 @@
     }
     for (auto const& request : expired)
     {
-        in.entries.erase(request);
+        record.entries.erase(request);
     }
     return expired;
 }
 
-duration quarantine_left(crash_record const& in, fingerprint const& request,
+duration quarantine_left(crash_record const& record, fingerprint const& request,
                          instant now)
 {
-    auto const found = in.entries.find(request);
-    if (found == in.entries.end() ||
+    auto const found = record.entries.find(request);
+    if (found == record.entries.end() ||
         judge(found->second.evidence) != crash_verdict::quarantined)
     {
         return duration{0};
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -11,25 +11,28 @@
 namespace
 {
 
-/// A restart of all routers doubles the rows. With a longer interval the view
-/// would be too old to divide the retry allowance.
+/// After a restart of all n routers the store also has the rows of the n dead
+/// ones. Without this bound, reads would be 100 ms x n apart, which exceeds
+/// `view_lifetime(n)` for n > 240, and no router could use its part of the
+/// retry allowance.
 constexpr duration longest_read_interval{20'000};
 
 /// Half the time to the second read, which must show all routers that started
 /// together.
 constexpr std::uint64_t first_heartbeat_spread_ms = heartbeat_interval.ms / 2;
 
-/// A removed router still counts for one window and a margin.
+/// A removed router still counts for one retry window and a margin. The longest
+/// window that the settings allow is as long as `row_lifetime`.
 constexpr duration removed_retention = row_lifetime + heartbeat_interval;
 
-duration silent_for(membership const& known, member const& one)
+duration silent_for(membership const& known, member const& row)
 {
-    return known.observed - one.observed_at;
+    return known.observed - row.observed_at;
 }
 
-bool is_alive(membership const& known, member const& one)
+bool is_alive(membership const& known, member const& row)
 {
-    return silent_for(known, one) <= member_lifetime;
+    return silent_for(known, row) <= member_lifetime;
 }
 
 template <class Condition>
@@ -37,9 +40,9 @@
                                    Condition const& condition)
 {
     std::vector<incarnation_id> all;
-    for (auto const& [router, one] : known.members)
+    for (auto const& [router, row] : known.members)
     {
-        if (condition(one))
+        if (condition(row))
         {
             all.push_back(router);
         }
@@ -103,11 +106,11 @@
 std::int64_t alive_vms(membership const& known)
 {
     std::set<std::string_view> addresses;
-    for (auto const& [id, one] : known.members)
+    for (auto const& [id, row] : known.members)
     {
-        if (is_alive(known, one))
+        if (is_alive(known, row))
         {
-            addresses.insert(one.address);
+            addresses.insert(row.address);
         }
     }
     return std::max<std::int64_t>(1, std::ssize(addresses));
@@ -122,15 +125,16 @@
 std::map<std::string, incarnation_id> live_routers(membership const& known)
 {
     std::map<std::string, incarnation_id> live;
-    for (auto const& [id, one] : known.members)
+    for (auto const& [id, row] : known.members)
     {
-        if (!is_alive(known, one))
+        if (!is_alive(known, row))
         {
             continue;
         }
-        auto const [found, added] = live.try_emplace(one.address, id);
-        auto const changed = known.members.at(found->second).version;
-        if (!added && one.version > changed)
+        auto const [found, added] = live.try_emplace(row.address, id);
+        // Row versions are store-wide, so the greater one was written later.
+        auto const listed_version = known.members.at(found->second).version;
+        if (!added && row.version > listed_version)
         {
             found->second = id;
         }
@@ -141,14 +145,14 @@
 std::vector<incarnation_id> dead_routers_to_remove(membership const& known,
                                                    incarnation_id const& self)
 {
-    auto all = select(known, [&](member const& one)
-                      { return silent_for(known, one) > row_lifetime; });
+    auto all = select(known, [&](member const& row)
+                      { return silent_for(known, row) > row_lifetime; });
     if (all.empty())
     {
         return all;
     }
     auto const live =
-        select(known, [&](member const& one) { return is_alive(known, one); });
+        select(known, [&](member const& row) { return is_alive(known, row); });
     std::erase_if(all,
                   [&](incarnation_id const& router)
                   {
--- a/src/fleet/placement.cpp
+++ b/src/fleet/placement.cpp
@@ -17,13 +17,14 @@
 /// cost of a second prefill of a small shared prefix, and above 0 so that
 /// routers agree on the second choice.
 constexpr double rank_penalty_ms = 0.4;
-/// Weight of a new load report; it falls to 0 at the age `report_lifetime`.
 constexpr double full_report_weight = 1.0;
-constexpr std::int64_t hundred = 100;
+constexpr std::int64_t percent_per_whole = 100;
 
-double age_weight(server const& one, instant now)
+/// Weight of a load report: 1 if new, falling to 0 at the age
+/// `report_lifetime`.
+double age_weight(server const& target, instant now)
 {
-    auto const age = now - one.reported_at;
+    auto const age = now - target.reported_at;
     if (age >= report_lifetime)
     {
         return 0.0;
@@ -34,49 +35,51 @@
 
 /// Estimated open requests of all routers at the server: those of this router,
 /// plus the excess in the server's latest load report, weighted by its age.
-double open_requests(server const& one, instant now)
+double open_requests(server const& target, instant now)
 {
-    auto const own = static_cast<double>(one.own.open);
+    auto const own = static_cast<double>(target.own.open);
     auto const seen =
-        static_cast<double>(one.report.running + one.report.waiting);
-    return own + age_weight(one, now) * std::max(0.0, seen - own);
+        static_cast<double>(target.report.running + target.report.waiting);
+    return own + age_weight(target, now) * std::max(0.0, seen - own);
 }
 
-double expected_engine_ms(server const& one, service const& of,
+double expected_engine_ms(server const& target, service const& of,
                           placement_request const& item, bool holds_prefix,
                           engine_speed const& speed, instant now)
 {
-    auto const open = open_requests(one, now);
-    auto const own = static_cast<double>(one.own.open);
-    auto const tokens = static_cast<double>(one.own.in_memory) +
+    auto const open = open_requests(target, now);
+    auto const own = static_cast<double>(target.own.open);
+    auto const tokens = static_cast<double>(target.own.in_memory) +
                         (open - own) * speed.unknown_request_tokens;
     auto const unread =
-        static_cast<double>(one.own.unread) +
+        static_cast<double>(target.own.unread) +
         static_cast<double>(item.prompt_tokens -
                             (holds_prefix ? item.shared_tokens : 0));
     auto const step =
         speed.step_ms + tokens / 1'000 * speed.step_ms_per_1000_tokens;
-    auto const need =
+    auto const tokens_needed =
         tokens + static_cast<double>(item.prompt_tokens + item.output_tokens);
     auto const slots = static_cast<double>(
-        of.batch_slots > 0 ? of.batch_slots : one.entry.slots);
+        of.batch_slots > 0 ? of.batch_slots : target.entry.slots);
     auto const beyond_slots = std::max(0.0, open + 1 - slots);
-    // An engine with full memory preempts a running request.
+    // An engine with full memory preempts a running request and prefills its
+    // tokens again later, so the excess costs prefill time.
     auto const beyond_memory =
         of.memory_tokens > 0
-            ? std::max(0.0, need - static_cast<double>(of.memory_tokens))
+            ? std::max(0.0,
+                       tokens_needed - static_cast<double>(of.memory_tokens))
             : 0.0;
     return (unread + beyond_memory) / speed.prompt_tokens_per_ms +
            speed.steps_to_first_event * step +
            beyond_slots * speed.queued_request_ms;
 }
 
-double expected_plain_ms(server const& one, engine_speed const& speed,
+double expected_plain_ms(server const& target, engine_speed const& speed,
                          instant now)
 {
     auto const slots =
-        static_cast<double>(std::max<std::int64_t>(1, one.entry.slots));
-    auto const open = open_requests(one, now);
+        static_cast<double>(std::max<std::int64_t>(1, target.entry.slots));
+    auto const open = open_requests(target, now);
     auto const rounds = std::max(0.0, open + 1 - slots) / slots;
     // Servers slow down a little as they fill, so prefer the emptier of two
     // servers that both have free slots.
@@ -91,7 +94,7 @@
 
 struct candidate
 {
-    server const* one{};
+    server const* target{};
     std::uint64_t order{};
 };
 
@@ -101,15 +104,16 @@
                                   instant now)
 {
     std::vector<candidate> found;
-    for (auto const& [id, one] : table.servers)
+    for (auto const& [id, target] : table.servers)
     {
-        if (one.entry.service != of.id || !usable(one, now) ||
+        if (target.entry.service != of.id || !usable(target, now) ||
             contains(avoid, id))
         {
             continue;
         }
         auto const seed = item.shared_part;
-        found.push_back({&one, XXH64(id.value.data(), id.value.size(), seed)});
+        found.push_back(
+            {&target, XXH64(id.value.data(), id.value.size(), seed)});
     }
     std::sort(found.begin(), found.end(),
               [](candidate const& a, candidate const& b)
@@ -125,12 +129,12 @@
     for (auto const& each : all)
     {
         auto const slots =
-            of.batch_slots > 0 ? of.batch_slots : each.one->entry.slots;
+            of.batch_slots > 0 ? of.batch_slots : each.target->entry.slots;
         total_slots += static_cast<double>(std::max<std::int64_t>(1, slots));
-        taken += open_requests(*each.one, now);
+        taken += open_requests(*each.target, now);
     }
-    return total_slots > 0 ? static_cast<std::int64_t>(
-                                 std::lround(taken * hundred / total_slots))
+    return total_slots > 0 ? static_cast<std::int64_t>(std::lround(
+                                 taken * percent_per_whole / total_slots))
                            : 0;
 }
 
@@ -186,16 +190,18 @@
     }
 }
 
-double expected_ms(server const& one, service const& of,
+double expected_ms(server const& target, service const& of,
                    placement_request const& item, bool holds_prefix,
                    engine_speed const& speed, instant now)
 {
     auto const base =
         of.memory_tokens > 0
-            ? expected_engine_ms(one, of, item, holds_prefix, speed, now)
-            : expected_plain_ms(one, speed, now);
-    auto const warm = one.entry.warm_up_left > now - one.listed_at ? 2.0 : 1.0;
-    return base * std::max(1.0, one.slowness) * warm;
+            ? expected_engine_ms(target, of, item, holds_prefix, speed, now)
+            : expected_plain_ms(target, speed, now);
+    // A server that is warming up is assumed to take twice as long.
+    auto const warm_up_factor =
+        target.entry.warm_up_left > now - target.listed_at ? 2.0 : 1.0;
+    return base * std::max(1.0, target.slowness) * warm_up_factor;
 }
 
 std::optional<placement>
@@ -209,16 +215,16 @@
     double least = 0;
     for (std::size_t rank = 0; rank < all.size(); ++rank)
     {
-        auto const& one = *all[rank].one;
+        auto const& target = *all[rank].target;
         auto const holds =
             item.shared_part != 0 &&
-            (rank == 0 || memory.holds(one.entry.id, item.shared_part, now));
-        auto const time = expected_ms(one, of, item, holds, speed, now);
+            (rank == 0 || memory.holds(target.entry.id, item.shared_part, now));
+        auto const time = expected_ms(target, of, item, holds, speed, now);
         auto const cost = time + rank_penalty_ms * static_cast<double>(rank);
         if (!best || cost < least)
         {
             least = cost;
-            best = placement{one.entry.id,
+            best = placement{target.entry.id,
                              {static_cast<std::int64_t>(std::lround(time))},
                              holds,
                              0};
--- a/src/fleet/readiness.cpp
+++ b/src/fleet/readiness.cpp
@@ -16,8 +16,8 @@
 
 bool may_take_callers(start_progress const& so_far)
 {
-    // A router that restarts while it cannot reach the store would reject
-    // requests that other routers can serve.
+    // Before the first read of a budget, for example if the store cannot be
+    // reached, this router would reject requests that other routers can serve.
     if (!so_far.has_read_a_budget)
     {
         return false;
--- a/src/fleet/retry_allowance.cpp
+++ b/src/fleet/retry_allowance.cpp
@@ -11,7 +11,8 @@
 /// One read and two retries; a failed read is retried after a heartbeat.
 constexpr std::int64_t reads_per_view = 3;
 
-/// How long other routers count a router after its last heartbeat.
+/// How long other routers count a router after its row last changed: until its
+/// lease has expired and its last retries are outside the window.
 duration counted_for(duration window)
 {
     return lease_time + window + clock_margin;
--- a/src/fleet/retry_window.cpp
+++ b/src/fleet/retry_window.cpp
@@ -36,7 +36,7 @@
     auto& service_counts = this->services[service];
     auto const window = this->limit.window;
     drop_before(service_counts.requests, now - window - window);
-    drop_before(service_counts.repeats, now - window);
+    drop_before(service_counts.retries, now - window);
     return service_counts;
 }
 
@@ -45,38 +45,40 @@
     this->current(service, now).requests.push_back(now);
 }
 
-/// Checks the windows that begin with one of the retries, and the one that
-/// begins now: of all windows with the same retries, these have the fewest
-/// requests.
+/// The limit must hold in every window. It is enough to check those that begin
+/// at a retry: a window that begins earlier, after the previous retry, has the
+/// same retries and at least as many requests. The window that begins now is
+/// checked too.
 std::int64_t retry_window::left(service_id const& service, std::int64_t sharers,
                                 instant now)
 {
     auto const& service_counts = this->current(service, now);
-    auto const slack =
+    auto const own_allowance =
         sharers > 0 ? this->limit.allowance / static_cast<double>(sharers)
                     : 0.0;
     auto const remaining_in_window =
-        [&](instant first, std::int64_t retries_in_window)
+        [&](instant window_begin, std::int64_t retries_in_window)
     {
-        auto const oldest = std::lower_bound(service_counts.requests.begin(),
-                                             service_counts.requests.end(),
-                                             first - this->limit.window);
+        auto const first_request = std::lower_bound(
+            service_counts.requests.begin(), service_counts.requests.end(),
+            window_begin - this->limit.window);
         auto const requests =
-            static_cast<double>(service_counts.requests.end() - oldest);
+            static_cast<double>(service_counts.requests.end() - first_request);
         auto const allowed =
-            usable_part *
-            (this->limit.ratio / windows_per_request * requests + slack);
+            usable_part * (this->limit.ratio / windows_per_request * requests +
+                           own_allowance);
         return static_cast<std::int64_t>(std::floor(allowed)) -
                retries_in_window;
     };
-    auto least = remaining_in_window(now, 0);
-    auto retries_in_window = std::ssize(service_counts.repeats);
-    for (auto const first : service_counts.repeats)
+    auto remaining = remaining_in_window(now, 0);
+    auto retries_in_window = std::ssize(service_counts.retries);
+    for (auto const first : service_counts.retries)
     {
-        least = std::min(least, remaining_in_window(first, retries_in_window));
+        remaining =
+            std::min(remaining, remaining_in_window(first, retries_in_window));
         retries_in_window -= 1;
     }
-    return std::max<std::int64_t>(0, least);
+    return std::max<std::int64_t>(0, remaining);
 }
 
 bool retry_window::take(service_id const& service, std::int64_t sharers,
@@ -86,7 +88,7 @@
     {
         return false;
     }
-    this->current(service, now).repeats.push_back(now);
+    this->current(service, now).retries.push_back(now);
     return true;
 }
 
@@ -97,7 +99,7 @@
     {
         return true;
     }
-    this->current(service, now).denied += 1;
+    this->current(service, now).rejected += 1;
     return false;
 }
 
@@ -107,14 +109,14 @@
     for (auto const& [service, unused] : this->services)
     {
         auto& service_counts = this->current(service, now);
-        if (service_counts.repeats.empty() && service_counts.denied == 0)
+        if (service_counts.retries.empty() && service_counts.rejected == 0)
         {
             continue;
         }
         all.push_back({service, std::ssize(service_counts.requests),
-                       std::ssize(service_counts.repeats),
-                       service_counts.denied});
-        service_counts.denied = 0;
+                       std::ssize(service_counts.retries),
+                       service_counts.rejected});
+        service_counts.rejected = 0;
     }
     return all;
 }
--- a/src/fleet/server_table.cpp
+++ b/src/fleet/server_table.cpp
@@ -21,20 +21,20 @@
 bool list_server(server_table& table, server_entry const& entry, instant now)
 {
     auto const [found, added] = table.servers.try_emplace(entry.id);
-    auto& one = found->second;
+    auto& target = found->second;
     // The same id with another start time or address is another process; the
     // failures and the cached prompts of the previous one do not apply to it.
-    auto const restarted = !added && (one.entry.born_ms != entry.born_ms ||
-                                      one.entry.address != entry.address);
+    auto const restarted = !added && (target.entry.born_ms != entry.born_ms ||
+                                      target.entry.address != entry.address);
     if (added || restarted)
     {
-        auto const own = one.own;
-        one = server{};
-        one.own = own;
-        one.listed_at = now;
+        auto const own = target.own;
+        target = server{};
+        target.own = own;
+        target.listed_at = now;
     }
-    one.entry = entry;
-    one.gone_from.reset();
+    target.entry = entry;
+    target.gone_from.reset();
     return added || restarted;
 }
 
@@ -46,19 +46,21 @@
     {
         return;
     }
-    auto& one = found->second;
+    auto& target = found->second;
     if (!table.store_reachable)
     {
-        one.gone_from = one.gone_from.value_or(now + entry_return_time);
+        // A live server may write its entry again.
+        target.gone_from = target.gone_from.value_or(now + entry_return_time);
         return;
     }
-    // Counted from the store's return and not from now: an entry that is
-    // removed late in this time may be that of a draining server, which must
-    // get no requests two seconds later.
+    // Entries lost in an outage may return until `settled_at`. It counts from
+    // the store's return and not from now: an entry that is removed shortly
+    // before `settled_at` may be that of a draining server, which must get no
+    // requests two seconds later.
     auto const settled_at =
         table.store_back_at ? *table.store_back_at + entry_return_time : now;
-    one.entry.draining = one.entry.draining || now >= settled_at;
-    one.gone_from = std::max(now, settled_at);
+    target.entry.draining = target.entry.draining || now >= settled_at;
+    target.gone_from = std::max(now, settled_at);
 }
 
 std::vector<backend_server_id>
@@ -75,7 +77,7 @@
             added.push_back(entry.id);
         }
     }
-    for (auto const& [id, one] : table.servers)
+    for (auto const& [id, target] : table.servers)
     {
         if (!listed.contains(id))
         {
@@ -97,9 +99,10 @@
 std::vector<backend_server_id> sweep_servers(server_table& table, instant now)
 {
     std::vector<backend_server_id> gone;
-    for (auto& [id, one] : table.servers)
+    for (auto& [id, target] : table.servers)
     {
-        if (is_draining(one, now) && one.gone_from && one.own.open == 0)
+        if (is_draining(target, now) && target.gone_from &&
+            target.own.open == 0)
         {
             gone.push_back(id);
         }
@@ -111,45 +114,45 @@
     return gone;
 }
 
-bool is_draining(server const& one, instant now)
+bool is_draining(server const& target, instant now)
 {
-    auto const gone = one.gone_from && now >= *one.gone_from;
-    return one.entry.draining || gone;
+    auto const gone = target.gone_from && now >= *target.gone_from;
+    return target.entry.draining || gone;
 }
 
-bool usable(server const& one, instant now)
+bool usable(server const& target, instant now)
 {
-    return !is_draining(one, now) && now >= one.set_aside_until;
+    return !is_draining(target, now) && now >= target.set_aside_until;
 }
 
-void note_failure(server& one, bool decisive, instant now)
+void note_failure(server& target, bool decisive, instant now)
 {
-    one.failures += decisive ? failures_to_set_aside : 1;
-    if (one.failures < failures_to_set_aside)
+    target.failures += decisive ? failures_to_set_aside : 1;
+    if (target.failures < failures_to_set_aside)
     {
         return;
     }
-    auto const further_series = one.failures / failures_to_set_aside - 1;
+    auto const further_series = target.failures / failures_to_set_aside - 1;
     auto const doublings =
         std::clamp<std::int64_t>(further_series, 0, most_doublings);
     auto const exclusion_ms =
         std::min(longest_set_aside.ms, first_set_aside.ms << doublings);
-    one.set_aside_until = now + duration{exclusion_ms};
+    target.set_aside_until = now + duration{exclusion_ms};
 }
 
-void note_replaced(server& one, instant now)
+void note_replaced(server& target, instant now)
 {
-    one.set_aside_until = now + replaced_set_aside;
+    target.set_aside_until = now + replaced_set_aside;
 }
 
-void note_success(server& one, duration took, duration expected)
+void note_success(server& target, duration took, duration expected)
 {
-    one.failures = 0;
+    target.failures = 0;
     auto const base =
         std::max(shortest_expected_ms, static_cast<double>(expected.ms));
     auto const measured = std::clamp(static_cast<double>(took.ms) / base,
                                      least_slowness, greatest_slowness);
-    one.slowness += slowness_weight * (measured - one.slowness);
+    target.slowness += slowness_weight * (measured - target.slowness);
 }
 
 } // namespace caperpath::fleet
--- a/src/fleet/shutdown.cpp
+++ b/src/fleet/shutdown.cpp
@@ -9,18 +9,20 @@
 {
 
 /// The load balancer probes once a second and removes a router after two failed
-/// probes.
+/// probes, so within two seconds; this leaves a margin of one second.
 constexpr duration balancer_removal_time{3'000};
 /// Time for the process to end by itself before it is killed.
-constexpr duration longest_exit{300};
+constexpr duration max_exit_time{300};
 /// Time after the last response: to transmit it to the caller, return the
 /// request's unused tokens and write the log.
-constexpr duration longest_settling{500};
+constexpr duration max_flush_time{500};
 /// Returning shares takes two round trips to the store.
-constexpr duration longest_return{1'500};
-/// Divisors of a grace time that is too short for the spans above.
+constexpr duration max_share_return_time{1'500};
+/// With a short grace time, the exit takes at most 1/8 and the flush at most
+/// 1/4 of it, and at least 1/4 of the time for responses lies after the removal
+/// from the load balancer.
 constexpr std::int64_t exit_divisor = 8;
-constexpr std::int64_t settling_divisor = 4;
+constexpr std::int64_t flush_divisor = 4;
 constexpr std::int64_t rotation_divisor = 4;
 /// An event loop that keeps up runs its timer twice within this many intervals.
 constexpr std::int64_t max_timer_intervals = 3;
@@ -43,9 +45,9 @@
 shutdown_schedule schedule_shutdown(instant began, duration grace)
 {
     auto const exit =
-        grace - std::min(longest_exit, fraction_of(grace, exit_divisor));
+        grace - std::min(max_exit_time, fraction_of(grace, exit_divisor));
     auto const responses =
-        exit - std::min(longest_settling, fraction_of(grace, settling_divisor));
+        exit - std::min(max_flush_time, fraction_of(grace, flush_divisor));
     auto const rotation =
         std::min(balancer_removal_time,
                  responses - fraction_of(responses, rotation_divisor));
@@ -77,8 +79,8 @@
     // New connections may keep arriving; those without a request need no
     // response.
     auto const connections = left.connections && now < stop.responses_due;
-    auto const shares =
-        left.returning_since && now < *left.returning_since + longest_return;
+    auto const shares = left.returning_since &&
+                        now < *left.returning_since + max_share_return_time;
     return !connections && !shares;
 }
 
--- a/src/fleet/uplink.cpp
+++ b/src/fleet/uplink.cpp
@@ -8,63 +8,65 @@
 namespace
 {
 
+/// Connects are counted in the current and the previous window.
 constexpr duration window{500};
 
-/// A single failed server can cause fewer.
+/// Least silent connects in two windows. A single failed server causes fewer
+/// than that.
 constexpr std::int64_t min_silent = 8;
 
-uplink in_current_window(uplink of, instant now)
+uplink in_current_window(uplink link, instant now)
 {
-    auto const age = now - of.window_began;
+    auto const age = now - link.window_began;
     if (age < window)
     {
-        return of;
+        return link;
     }
-    of.previous = age < window + window ? of.current : connect_results{};
-    of.current = {};
-    of.window_began = now;
-    return of;
+    link.previous = age < window + window ? link.current : connect_results{};
+    link.current = {};
+    link.window_began = now;
+    return link;
 }
 
-bool is_saturated(uplink const& of)
+bool is_saturated(uplink const& link)
 {
-    auto const silent = of.current.silent + of.previous.silent;
-    auto const answered = of.current.answered + of.previous.answered;
-    return of.unconfirmed_for > max_configuration_age && silent >= min_silent &&
-           silent > answered;
+    auto const silent = link.current.silent + link.previous.silent;
+    auto const answered = link.current.answered + link.previous.answered;
+    return link.unconfirmed_for > max_configuration_age &&
+           silent >= min_silent && silent > answered;
 }
 
 } // namespace
 
-uplink note_configuration_confirmed(uplink of)
+uplink note_configuration_confirmed(uplink link)
 {
-    of.unconfirmed_for = duration{0};
-    return of;
+    link.unconfirmed_for = duration{0};
+    return link;
 }
 
-uplink note_connect_result(uplink of, bool answered, instant now)
+uplink note_connect_result(uplink link, bool answered, instant now)
 {
-    of = in_current_window(of, now);
-    (answered ? of.current.answered : of.current.silent) += 1;
-    return of;
+    link = in_current_window(link, now);
+    (answered ? link.current.answered : link.current.silent) += 1;
+    return link;
 }
 
-uplink advance_time(uplink of, instant now)
+uplink advance_time(uplink link, instant now)
 {
-    of = in_current_window(of, now);
-    of.unconfirmed_for =
-        of.unconfirmed_for + std::min(now - of.updated_at, max_update_gap);
-    of.updated_at = now;
-    if (is_saturated(of))
+    link = in_current_window(link, now);
+    link.unconfirmed_for =
+        link.unconfirmed_for + std::min(now - link.updated_at, max_update_gap);
+    link.updated_at = now;
+    if (is_saturated(link))
     {
-        of.shedding_until = now + shedding_time;
+        link.shedding_until = now + shedding_time;
     }
-    return of;
+    return link;
 }
 
-bool sheds_callers(uplink const& of, instant now)
+bool sheds_callers(uplink const& link, instant now)
 {
-    return now < of.shedding_until;
+    return now < link.shedding_until;
 }
 
 } // namespace caperpath::fleet
--- a/src/gateway/connection.cpp
+++ b/src/gateway/connection.cpp
@@ -94,7 +94,7 @@
     }
     this->reading = true;
     this->socket.async_read_some(
-        asio::buffer(this->scratch),
+        asio::buffer(this->read_target),
         [self = this->shared_from_this()](boost::system::error_code fault,
                                           std::size_t size)
         {
@@ -118,13 +118,12 @@
         });
 }
 
-/// Copies the received bytes from `scratch`: the buffer moves its content when
-/// bytes are consumed, so the kernel must not write into it while a read is
-/// pending.
+/// Copies the received bytes from `read_target`. A pending read needs a fixed
+/// target, and `input_buffer` may move its content when bytes are consumed.
 void connection::append_input(std::size_t size)
 {
     auto const space = this->input_buffer.prepare(size);
-    asio::buffer_copy(space, asio::buffer(this->scratch), size);
+    asio::buffer_copy(space, asio::buffer(this->read_target), size);
     this->input_buffer.commit(size);
 }
 
--- a/src/gateway/connection.hpp
+++ b/src/gateway/connection.hpp
@@ -89,7 +89,7 @@
 
     tcp::socket socket;
     boost::beast::flat_buffer input_buffer;
-    std::array<char, read_size> scratch; ///< target of the pending read
+    std::array<char, read_size> read_target; ///< target of the pending read
     waker_ptr wakeup;
     std::string outgoing;  ///< being handed to the kernel
     std::size_t written{}; ///< of `outgoing`
--- a/src/gateway/core.hpp
+++ b/src/gateway/core.hpp
@@ -45,8 +45,8 @@
     gateway::settings const settings;
     protocol_adapter const adapter;
     caperpath::clock const now{caperpath::clock::monotonic()};
-    /// For the retry limit, whose windows are compared with those of other
-    /// routers.
+    /// For the retry limit: includes time in suspend, so that the limit of the
+    /// fleet holds in real time.
     caperpath::clock const boot_time{caperpath::clock::boot()};
 
     decision_log log;
@@ -64,15 +64,18 @@
     server_pool pool;
     crash_tracker crashes;
     crash_check crash_checks;
-    std::set<fleet::fingerprint> on_probation; ///< in progress here
-    /// Open sends of requests that were at a crash, by server.
+    std::set<fleet::fingerprint> on_probation; ///< requests on probation that
+                                               ///< this router runs now
+    /// By server: open sends of requests that were running on a server when it
+    /// crashed.
     std::map<backend_server_id, std::int64_t> suspects_by_server;
     std::optional<fleet::shutdown_schedule> stop; ///< set during a planned stop
-    /// Set while shares are returned, for which all reservations must end.
+    /// When tokens were last given back to the store in a planned stop: at its
+    /// begin, and again as each reservation ends. Empty before.
     std::optional<instant> returning_since;
-    std::int64_t taken_while_stopping{};      ///< requests
-    std::set<waker*> sessions;                ///< one per caller connection
-    std::set<connection const*> idle_callers; ///< no request has started
+    std::int64_t taken_while_stopping{}; ///< requests read since `stop`
+    std::set<waker*> sessions;           ///< wakers, one per caller connection
+    std::set<connection const*> idle_callers; ///< connections without a request
     std::set<exchange*> open_requests;
     fleet::service_times service_times;
     std::uint64_t reservations{}; ///< reservations so far; numbers their ids
--- a/src/gateway/decision_log.cpp
+++ b/src/gateway/decision_log.cpp
@@ -22,16 +22,15 @@
 /// Average rate of routine lines.
 constexpr std::int64_t bytes_per_flush = 1'000;
 constexpr std::int64_t burst_bytes = 64'000;
-/// Size limit of the buffer. Notable lines are not limited by the rate and may
-/// use all that is left of it.
+/// Size limit of the buffer for all lines. Notable lines ignore the rate limit.
 constexpr std::size_t max_pending = 256'000;
 
 } // namespace
 
 decision_log::decision_log(boost::asio::any_io_executor const& executor,
                            int descriptor, std::string vm)
-    : timer{executor},
-      descriptor{descriptor}, vm{std::move(vm)}, allowance{burst_bytes}
+    : timer{executor}, descriptor{descriptor}, vm{std::move(vm)},
+      routine_bytes_left{burst_bytes}
 {
     auto const flags = ::fcntl(descriptor, F_GETFL);
     static_cast<void>(::fcntl(descriptor, F_SETFL, flags | O_NONBLOCK));
@@ -44,7 +43,7 @@
     {
         return false;
     }
-    return weight == log_weight::notable || this->allowance > 0;
+    return weight == log_weight::notable || this->routine_bytes_left > 0;
 }
 
 void decision_log::write(log_weight weight, std::string_view step,
@@ -69,7 +68,7 @@
         this->lines_dropped += 1;
         return;
     }
-    this->allowance -= static_cast<std::int64_t>(line.size());
+    this->routine_bytes_left -= static_cast<std::int64_t>(line.size());
     this->pending += line;
 }
 
@@ -120,8 +119,10 @@
 
 void decision_log::tick()
 {
-    this->allowance = std::min(burst_bytes, this->allowance + bytes_per_flush);
-    if (this->drops_reported != this->lines_dropped && this->allowance > 0)
+    this->routine_bytes_left =
+        std::min(burst_bytes, this->routine_bytes_left + bytes_per_flush);
+    if (this->drops_reported != this->lines_dropped &&
+        this->routine_bytes_left > 0)
     {
         auto const count = this->lines_dropped - this->drops_reported;
         this->drops_reported = this->lines_dropped;
--- a/src/gateway/decision_log.hpp
+++ b/src/gateway/decision_log.hpp
@@ -65,7 +65,7 @@
     int descriptor;
     std::string vm;
     std::string pending;
-    std::int64_t allowance;
+    std::int64_t routine_bytes_left;
     std::uint64_t lines_dropped{};
     std::uint64_t drops_reported{};
 };
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -17,9 +17,9 @@
 namespace caperpath::gateway
 {
 
-/// The router. It serves callers, backend servers and the store on one event
-/// loop and thread, so that a request needs no locks and no thread switches.
-/// Not thread safe.
+/// The router, which is the process `caperpath-gateway`. It serves callers,
+/// backend servers and the store on one event loop and thread, so that a
+/// request needs no locks and no thread switches. Not thread safe.
 class gateway_server
 {
 public:
@@ -39,8 +39,8 @@
     /// the balancer still sends them, then ends. Idempotent.
     void stop();
 
-    /// Call when the settings file has changed. New settings (addresses,
-    /// limits) take effect at the next start; open requests are not affected.
+    /// Logs that the settings file has changed. The file is read at the next
+    /// start only.
     void reload();
 
     /// Rejects the requests that are still open: if the loop is behind, the
@@ -51,7 +51,8 @@
     /// Writes the rest of the log. Call after the loop has ended.
     void flush_log();
 
-    /// True if a planned stop has ended and nothing is open.
+    /// True if a planned stop has ended: nothing is left to do, or its
+    /// `exit_due` has passed. Requests may then still be open.
     bool stopped() const;
 
     /// The bound ports, for settings that give port 0. @pre `start` succeeded.
--- a/src/gateway/membership_tracker.cpp
+++ b/src/gateway/membership_tracker.cpp
@@ -15,6 +15,7 @@
 /// The suffix of the keys puts all heartbeat rows into one partition.
 constexpr std::string_view key_begin = "router/";
 constexpr std::string_view key_end = "/fleet";
+/// '0' is the character after '/', so the range holds all keys `router/...`.
 constexpr char range_begin[] = "router//fleet";
 constexpr char range_end[] = "router0/fleet";
 
@@ -26,13 +27,14 @@
 /// Returns nothing if `key` is not a heartbeat row.
 std::optional<incarnation_id> router_of(std::string const& key)
 {
-    auto const around = key_begin.size() + key_end.size();
-    if (key.size() <= around || !key.starts_with(key_begin) ||
+    auto const affix_length = key_begin.size() + key_end.size();
+    if (key.size() <= affix_length || !key.starts_with(key_begin) ||
         !key.ends_with(key_end))
     {
         return std::nullopt;
     }
-    return incarnation_id{key.substr(key_begin.size(), key.size() - around)};
+    return incarnation_id{
+        key.substr(key_begin.size(), key.size() - affix_length)};
 }
 
 } // namespace
--- a/src/gateway/server_pool.hpp
+++ b/src/gateway/server_pool.hpp
@@ -21,8 +21,10 @@
 class server_pool
 {
 public:
-    /// `on_result` is called with whether the server responded: `false` if
-    /// nothing came back within the whole `connect_timeout`.
+    /// `on_result` is called with whether the server responded: `true` also if
+    /// an exchange on a kept connection ended cleanly, `false` if nothing came
+    /// back within the whole `connect_timeout`. A shorter wait without a
+    /// response proves nothing and is not reported.
     server_pool(asio::any_io_executor executor,
                 std::function<void(bool answered)> on_result);
 
--- a/src/gateway/session.cpp
+++ b/src/gateway/session.cpp
@@ -18,7 +18,8 @@
 
 /// A caller that acknowledges nothing for this long is treated as disconnected.
 constexpr std::chrono::milliseconds caller_silence_timeout{5'000};
-/// The first request of a caller follows its connection within a round trip.
+/// Timeout of the first request after the caller has connected. It normally
+/// arrives within a round trip.
 constexpr duration first_request_timeout{1'000};
 /// How often a stopping process checks whether a connection may be closed.
 constexpr duration stop_check_interval{250};
--- a/src/gateway/settings.cpp
+++ b/src/gateway/settings.cpp
@@ -10,7 +10,8 @@
 
 constexpr double max_seconds = 600;
 constexpr double min_retry_window_s = 1;
-/// Routers that have left are remembered for slightly longer than this.
+/// As long as `fleet::row_lifetime`: membership remembers routers that have
+/// left for slightly longer than that.
 constexpr double max_retry_window_s = 60;
 constexpr double max_ratio = 10;
 constexpr double max_retry_slack = 1'000'000;
--- a/src/gateway/table_follower.cpp
+++ b/src/gateway/table_follower.cpp
@@ -58,9 +58,9 @@
 
 void table_follower::list()
 {
-    this->listed = false;
-    // During an outage a longer timeout only delays the call that detects its
-    // end.
+    this->is_current = false;
+    // The timeout is lengthened at most once: in an outage, a longer one only
+    // delays the call that detects its end.
     auto const lost = std::min(this->failures, 1);
     this->port.list(this->table, first_byte_timeout(list_timeout, lost),
                     [this](std::variant<store::feed_page, error> const& reply)
@@ -72,7 +72,7 @@
                         }
                         auto const& page = std::get<store::feed_page>(reply);
                         this->failures = 0;
-                        this->listed = true;
+                        this->is_current = true;
                         this->version = page.version;
                         this->listener.on_reachability(true, {});
                         this->listener.on_snapshot(page);
@@ -82,18 +82,18 @@
 
 void table_follower::restart_poll()
 {
-    if (!this->held)
+    if (!this->may_restart_poll)
     {
         return;
     }
     this->hold = this->listener.hold;
     this->follow(probe_hold);
-    this->held = false;
+    this->may_restart_poll = false;
 }
 
 void table_follower::follow(duration hold)
 {
-    this->held = true;
+    this->may_restart_poll = true;
     this->calls_sent += 1;
     this->port.follow(this->table, this->version, hold,
                       first_byte_timeout(poll_timeout, this->lost_polls),
@@ -104,7 +104,7 @@
                           {
                               return; // replaced by `restart_poll`
                           }
-                          this->held = false;
+                          this->may_restart_poll = false;
                           if (auto const* fault = std::get_if<error>(&reply))
                           {
                               this->lost_polls += 1;
@@ -163,7 +163,7 @@
     this->hold = this->listener.hold;
     if (history_gone || needs_full_read(this->failures))
     {
-        this->listed = false;
+        this->is_current = false;
     }
     auto const seed = this->salt + static_cast<std::size_t>(this->version) +
                       static_cast<std::size_t>(this->failures);
@@ -172,7 +172,7 @@
     this->schedule(pause,
                    [this]
                    {
-                       if (this->listed)
+                       if (this->is_current)
                        {
                            this->follow(probe_hold);
                            return;
--- a/src/gateway/table_follower.hpp
+++ b/src/gateway/table_follower.hpp
@@ -13,8 +13,9 @@
 namespace caperpath::gateway
 {
 
-/// A change must take effect within two seconds of its acknowledgement; this
-/// leaves half of that for the read that follows a silent connection.
+/// A change must take effect within two seconds of its acknowledgement. A call
+/// on a silent connection ends after this time plus `poll_timeout`, 950 ms in
+/// all; about one second is left to read the change anew.
 inline constexpr duration default_hold{600};
 
 /// Callbacks and options of a `table_follower`.
@@ -56,7 +57,7 @@
 class table_follower
 {
 public:
-    /// `salt` differs between routers.
+    /// `salt` differs between routers, to spread their retries.
     table_follower(boost::asio::any_io_executor const& executor,
                    store::async_port port, std::string table,
                    table_listener listener, std::size_t salt);
@@ -81,11 +82,13 @@
     std::size_t salt;
     boost::asio::steady_timer timer;
     std::uint64_t version{};
-    duration hold{};            ///< for the next call for changes
-    bool held{false};           ///< the store holds a call for changes
+    duration hold{};              ///< for the next call for changes
+    bool may_restart_poll{false}; ///< a call for changes is pending that
+    ///< is not itself a replacement, so that several lost calls
+    ///< replace it only once
     std::uint64_t calls_sent{}; ///< calls for changes; responses to older ones
                                 ///< are ignored
-    bool listed{false};         ///< all changes up to `version` are known
+    bool is_current{false};     ///< all changes up to `version` are known
     int failures{};             ///< consecutive calls without a response
     int lost_polls{}; ///< consecutive calls for changes without a response
 };
