--- a/include/caperpath/fleet/placement.hpp
+++ b/include/caperpath/fleet/placement.hpp
@@ -38,10 +38,11 @@
     /// or an arbitrary one if none has expired.
     explicit prefix_history(std::size_t capacity);
 
-    void note(backend_server_id const& server, std::uint64_t part, instant now);
+    void note(backend_server_id const& server, std::uint64_t prefix,
+              instant now);
 
     /// True if the prefix was sent to `server` within the retention time.
-    bool holds(backend_server_id const& server, std::uint64_t part,
+    bool holds(backend_server_id const& server, std::uint64_t prefix,
                instant now) const;
 
     /// Removes all prefixes of `server`, which has restarted with empty memory.
--- a/include/caperpath/fleet/service_times.hpp
+++ b/include/caperpath/fleet/service_times.hpp
@@ -17,6 +17,7 @@
 /// an observation decays with its age. Immutable value.
 struct time_histogram
 {
+    /// At a ratio of 1.2 the last bucket is at seven minutes.
     static constexpr std::size_t bucket_count = 72;
 
     std::array<float, bucket_count> weights{};
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -132,7 +132,8 @@
             continue;
         }
         auto const [found, added] = live.try_emplace(row.address, id);
-        // Row versions are store-wide, so the greater one was written later.
+        // In a store that numbers its commits, the row with the greater version
+        // was written later.
         auto const listed_version = known.members.at(found->second).version;
         if (!added && row.version > listed_version)
         {
--- a/src/fleet/placement.cpp
+++ b/src/fleet/placement.cpp
@@ -144,14 +144,14 @@
 {
 }
 
-void prefix_history::note(backend_server_id const& server, std::uint64_t part,
+void prefix_history::note(backend_server_id const& server, std::uint64_t prefix,
                           instant now)
 {
-    if (part == 0)
+    if (prefix == 0)
     {
         return;
     }
-    if (this->uses.size() >= this->capacity && !this->uses.contains(part))
+    if (this->uses.size() >= this->capacity && !this->uses.contains(prefix))
     {
         std::erase_if(
             this->uses, [now](auto const& entry)
@@ -161,16 +161,16 @@
             this->uses.erase(this->uses.begin());
         }
     }
-    auto& all = this->uses[part];
+    auto& all = this->uses[prefix];
     std::erase_if(all,
                   [&](last_use const& use) { return use.server == server; });
     all.push_back({server, now});
 }
 
-bool prefix_history::holds(backend_server_id const& server, std::uint64_t part,
-                           instant now) const
+bool prefix_history::holds(backend_server_id const& server,
+                           std::uint64_t prefix, instant now) const
 {
-    auto const found = this->uses.find(part);
+    auto const found = this->uses.find(prefix);
     return found != this->uses.end() &&
            std::any_of(found->second.begin(), found->second.end(),
                        [&](last_use const& use) {
--- a/src/fleet/server_table.cpp
+++ b/src/fleet/server_table.cpp
@@ -14,7 +14,8 @@
     0.5; ///< limits the effect of one fast response
 constexpr double greatest_slowness = 20.; ///< larger values make no difference
 constexpr double shortest_expected_ms = 10.;
-constexpr int most_doublings = 4;
+/// Bounds the shift. `longest_set_aside` is reached after fewer doublings.
+constexpr int max_doublings = 4;
 
 } // namespace
 
@@ -134,7 +135,7 @@
     }
     auto const further_series = target.failures / failures_to_set_aside - 1;
     auto const doublings =
-        std::clamp<std::int64_t>(further_series, 0, most_doublings);
+        std::clamp<std::int64_t>(further_series, 0, max_doublings);
     auto const exclusion_ms =
         std::min(longest_set_aside.ms, first_set_aside.ms << doublings);
     target.set_aside_until = now + duration{exclusion_ms};
--- a/src/gateway/connection.cpp
+++ b/src/gateway/connection.cpp
@@ -23,7 +23,8 @@
 /// freezes; a request would then wait for its whole timeout. Keep-alive probes
 /// detect an idle silent peer, the user timeout one that no longer
 /// acknowledges.
-void bound_silence(tcp::socket& socket, std::chrono::milliseconds silence)
+void set_silence_timeout(tcp::socket& socket,
+                         std::chrono::milliseconds silence_timeout)
 {
     auto const handle = socket.native_handle();
     auto const set = [handle](int level, int name, int value)
@@ -33,23 +34,25 @@
             setsockopt(handle, level, name, &value, sizeof value));
     };
     auto const seconds = std::max<int>(
-        1,
-        static_cast<int>(
-            std::chrono::duration_cast<std::chrono::seconds>(silence).count()));
+        1, static_cast<int>(
+               std::chrono::duration_cast<std::chrono::seconds>(silence_timeout)
+                   .count()));
     set(SOL_SOCKET, SO_KEEPALIVE, 1);
     set(IPPROTO_TCP, TCP_KEEPIDLE, seconds);
     set(IPPROTO_TCP, TCP_KEEPINTVL, 1);
     set(IPPROTO_TCP, TCP_KEEPCNT, probe_count);
-    set(IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(silence.count()));
+    set(IPPROTO_TCP, TCP_USER_TIMEOUT,
+        static_cast<int>(silence_timeout.count()));
     set(IPPROTO_TCP, TCP_NODELAY, 1);
 }
 
 } // namespace
 
-connection::connection(tcp::socket socket, std::chrono::milliseconds silence)
+connection::connection(tcp::socket socket,
+                       std::chrono::milliseconds silence_timeout)
     : socket{std::move(socket)}, last_used{std::chrono::steady_clock::now()}
 {
-    bound_silence(this->socket, silence);
+    set_silence_timeout(this->socket, silence_timeout);
 }
 
 void connection::start()
--- a/src/gateway/connection.hpp
+++ b/src/gateway/connection.hpp
@@ -16,11 +16,11 @@
 
 using tcp = boost::asio::ip::tcp;
 
-/// Whether and how the connection ended.
+/// The state of a connection: open, or how it ended.
 enum class peer_end
 {
     open,
-    finished, ///< the peer shut down its sending side
+    finished, ///< the peer shut down its sending side; it may still receive
     broken    ///< reset, timed out, or closed by us
 };
 
@@ -32,10 +32,10 @@
 class connection : public std::enable_shared_from_this<connection>
 {
 public:
-    /// Sets the socket options. `silence` bounds how long sent bytes may stay
-    /// unacknowledged, and how long an idle peer may be silent before it is
-    /// probed.
-    connection(tcp::socket socket, std::chrono::milliseconds silence);
+    /// Sets the socket options. `silence_timeout` bounds how long sent bytes
+    /// may stay unacknowledged, and how long an idle peer may be silent before
+    /// it is probed.
+    connection(tcp::socket socket, std::chrono::milliseconds silence_timeout);
 
     connection(connection const&) = delete;
     connection& operator=(connection const&) = delete;
--- a/src/gateway/core.cpp
+++ b/src/gateway/core.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Number of shared prompt parts to remember.
-constexpr std::size_t max_remembered_parts = 20'000;
+/// Number of shared prompt prefixes to remember.
+constexpr std::size_t max_remembered_prefixes = 20'000;
 
 std::string peer_address(settings const& from)
 {
@@ -24,7 +24,7 @@
            protocol_adapter adapter, store::async_port const& store,
            incarnation_id incarnation, int log_descriptor)
     : loop{loop}, settings{settings}, adapter{std::move(adapter)},
-      log{loop, log_descriptor, settings.vm}, prompts{max_remembered_parts},
+      log{loop, log_descriptor, settings.vm}, prompts{max_remembered_prefixes},
       retries{settings.retries}, peers{loop, peer_address(settings), this->log},
       membership{loop,
                  store,
--- a/src/gateway/core.hpp
+++ b/src/gateway/core.hpp
@@ -54,7 +54,7 @@
     std::shared_ptr<fleet::site const> site; ///< null until first read
     fleet::server_table servers;
     bool servers_listed{false};
-    fleet::prefix_history prompts;
+    fleet::prefix_history prompts; ///< shared prompt prefixes by server
     fleet::engine_speed speed;
     fleet::retry_window retries;
     peer_socket peers;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -32,7 +32,7 @@
 constexpr duration retry_report_interval{2'000};
 /// Kept short, so that the process is not killed while it writes its log.
 constexpr duration max_log_wait{100};
-constexpr std::chrono::seconds page_timeout{5};
+constexpr std::chrono::seconds status_timeout{5};
 constexpr int backlog = 1'024;
 /// The responses only have to be handed to the kernel.
 constexpr duration overdue_run_time{50};
@@ -86,11 +86,11 @@
         [this](std::string const& from, std::string const& bytes)
         { this->shared.budgets.receive_datagram(from, bytes); });
     this->accept_callers();
-    this->accept_page_clients(this->readiness);
-    this->accept_page_clients(this->metrics);
+    this->accept_status_clients(this->readiness);
+    this->accept_status_clients(this->metrics);
     this->shared.budgets.start();
-    this->sites->start();
-    this->servers->start();
+    this->configuration_follower->start();
+    this->server_follower->start();
     this->shared.membership.start();
     this->shared.crashes.start();
     this->last_tick = this->shared.now.now();
@@ -146,7 +146,7 @@
               [pause, accept = std::move(accept)] { accept(); });
 }
 
-void gateway_server::accept_page_clients(tcp::acceptor& acceptor)
+void gateway_server::accept_status_clients(tcp::acceptor& acceptor)
 {
     acceptor.async_accept(
         [this, &acceptor](boost::system::error_code fault, tcp::socket socket)
@@ -157,16 +157,17 @@
             }
             if (!fault)
             {
-                asio::co_spawn(this->loop, this->serve_page(std::move(socket)),
+                asio::co_spawn(this->loop,
+                               this->serve_status(std::move(socket)),
                                asio::detached);
             }
             this->accept_after(fault, [this, &acceptor]
-                               { this->accept_page_clients(acceptor); });
+                               { this->accept_status_clients(acceptor); });
         });
 }
 
 /// Serves the readiness check of the balancer and the metrics page.
-asio::awaitable<void> gateway_server::serve_page(tcp::socket socket)
+asio::awaitable<void> gateway_server::serve_status(tcp::socket socket)
 {
     auto const is_metrics =
         socket.local_endpoint().port() == this->metrics.local_endpoint().port();
@@ -177,7 +178,7 @@
     while (keep_open)
     {
         http::request<http::string_body> request;
-        stream.expires_after(page_timeout);
+        stream.expires_after(status_timeout);
         co_await http::async_read(
             stream, buffer, request,
             asio::redirect_error(asio::use_awaitable, fault));
@@ -214,7 +215,7 @@
            fleet::may_take_callers(
                {shared.budgets.has_read_a_budget(), shared.budgets.ready(),
                 shared.crashes.has_read_rows(), shared.servers.store_reachable,
-                now - this->site_known_at});
+                now - this->configuration_known_at});
 }
 
 void gateway_server::stop()
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -62,12 +62,13 @@
 private:
     result<void> listen(tcp::acceptor& acceptor, std::string const& address);
     void accept_callers();
-    void accept_page_clients(tcp::acceptor& acceptor);
+    /// Accepts clients of the readiness check and of the metrics.
+    void accept_status_clients(tcp::acceptor& acceptor);
     void accept_after(boost::system::error_code fault,
                       std::function<void()> accept);
-    asio::awaitable<void> serve_page(tcp::socket socket);
+    asio::awaitable<void> serve_status(tcp::socket socket);
     void follow_store(store::async_port const& store);
-    void apply_site(store::feed_page const& page);
+    void apply_configuration(store::feed_page const& page);
     std::optional<fleet::server_entry> read_entry(store::feed_row const& row);
     void handle_listed(fleet::server_entry const& entry, bool is_new);
     void apply_server(store::feed_row const& row);
@@ -86,9 +87,9 @@
     tcp::acceptor readiness;
     tcp::acceptor metrics;
     asio::steady_timer timer;
-    std::unique_ptr<table_follower> sites;
-    std::unique_ptr<table_follower> servers;
-    instant site_known_at{};
+    std::unique_ptr<table_follower> configuration_follower;
+    std::unique_ptr<table_follower> server_follower;
+    instant configuration_known_at{};
     instant retries_reported_at{};
     std::int64_t reported_sharers{};
     std::uint64_t membership_reads{}; ///< reads that were handled
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -23,7 +23,7 @@
 /// Seconds; finer around the latency targets for the first part.
 prometheus::Histogram::BucketBoundaries const answer_buckets{
     0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.45, 0.6, 1, 1.5, 2.5, 5, 10};
-/// Seconds; a draw from the store takes about 0.02.
+/// Seconds; drawing tokens from the store takes about 0.02.
 prometheus::Histogram::BucketBoundaries const wait_buckets{
     0.001, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1};
 
--- a/src/gateway/gateway_views.cpp
+++ b/src/gateway/gateway_views.cpp
@@ -11,25 +11,28 @@
 void gateway_server::follow_store(store::async_port const& store)
 {
     auto const& adapter = this->shared.adapter;
-    auto const reached = [this](bool reachable, error const& why)
+    auto const on_reachability = [this](bool reachable, error const& why)
     {
         this->record_store_call(reachable, why);
     };
     auto const salt = fleet::stable_hash(this->shared.settings.vm);
-    auto const missed = [this](error const& why)
+    auto const on_call_lost = [this](error const& why)
     {
         this->shared.log.write_error(why);
+        // The pending call for the crash table may be lost too.
         this->shared.crashes.note_lost_store_call();
     };
-    auto const on_site = [this](store::feed_page const& page)
+    auto const on_configuration = [this](store::feed_page const& page)
     {
         this->shared.uplink =
             fleet::note_configuration_confirmed(this->shared.uplink);
-        this->apply_site(page);
+        this->apply_configuration(page);
     };
-    this->sites = std::make_unique<table_follower>(
+    this->configuration_follower = std::make_unique<table_follower>(
         this->loop.get_executor(), store, adapter.site_table,
-        table_listener{on_site, on_site, reached, missed}, salt);
+        table_listener{on_configuration, on_configuration, on_reachability,
+                       on_call_lost},
+        salt);
     auto const on_servers = [this](store::feed_page const& page)
     {
         for (auto const& row : page.rows)
@@ -37,17 +40,17 @@
             this->apply_server(row);
         }
     };
-    this->servers = std::make_unique<table_follower>(
+    this->server_follower = std::make_unique<table_follower>(
         this->loop.get_executor(), store, adapter.server_table,
         table_listener{[this](store::feed_page const& page)
                        { this->replace_servers(page); },
-                       on_servers, reached, missed},
+                       on_servers, on_reachability, on_call_lost},
         salt);
 }
 
 /// Ignores configurations older than the one in use: they could restore a
 /// revoked key.
-void gateway_server::apply_site(store::feed_page const& page)
+void gateway_server::apply_configuration(store::feed_page const& page)
 {
     for (auto const& row : page.rows)
     {
@@ -70,7 +73,7 @@
         }
         if (!this->shared.site)
         {
-            this->site_known_at = this->shared.now.now();
+            this->configuration_known_at = this->shared.now.now();
         }
         this->shared.site =
             std::make_shared<fleet::site const>(std::move(parts));
--- a/src/gateway/server_pool.cpp
+++ b/src/gateway/server_pool.cpp
@@ -18,7 +18,7 @@
 
 /// Servers in the same region acknowledge within a few ms; one or two lost
 /// packets add some hundred ms.
-constexpr std::chrono::milliseconds server_silence{1'500};
+constexpr std::chrono::milliseconds server_silence_timeout{1'500};
 constexpr std::size_t max_idle_per_server = 32;
 
 bool is_reusable(connection& link)
@@ -93,8 +93,8 @@
         co_return nullptr;
     }
     this->connections_made += 1;
-    auto link =
-        std::make_shared<connection>(std::move(*socket), server_silence);
+    auto link = std::make_shared<connection>(std::move(*socket),
+                                             server_silence_timeout);
     link->start();
     co_return link;
 }
