--- a/src/budget/transfer.cpp
+++ b/src/budget/transfer.cpp
@@ -26,20 +26,20 @@
 posted_transfer post(outbox sent, incarnation_id const& receiver,
                      budget_id const& budget, token_count tokens, instant now)
 {
-    auto& entry = sent.receivers[receiver];
-    entry.last += 1;
-    transfer what{entry.last, budget, tokens};
-    entry.open.emplace(what.number,
-                       open_transfer{what, now + backoff_after(0), 1});
+    auto& transfers = sent.receivers[receiver];
+    transfers.last += 1;
+    transfer what{transfers.last, budget, tokens};
+    transfers.open.emplace(what.number,
+                           open_transfer{what, now + backoff_after(0), 1});
     return {std::move(sent), std::move(what)};
 }
 
 due_transfers take_due(outbox sent, instant now)
 {
     due_transfers found;
-    for (auto& [receiver, entry] : sent.receivers)
+    for (auto& [receiver, transfers] : sent.receivers)
     {
-        for (auto& [number, one] : entry.open)
+        for (auto& [number, one] : transfers.open)
         {
             if (now < one.next_try)
             {
@@ -57,12 +57,12 @@
 outbox confirmed(outbox sent, incarnation_id const& receiver,
                  std::vector<std::uint64_t> const& numbers)
 {
-    auto const entry = sent.receivers.find(receiver);
-    if (entry != sent.receivers.end())
+    auto const transfers = sent.receivers.find(receiver);
+    if (transfers != sent.receivers.end())
     {
         for (auto const number : numbers)
         {
-            entry->second.open.erase(number);
+            transfers->second.open.erase(number);
         }
     }
     return sent;
@@ -70,19 +70,20 @@
 
 outbox abandoned(outbox sent, incarnation_id const& receiver)
 {
-    auto const entry = sent.receivers.find(receiver);
-    if (entry != sent.receivers.end())
+    auto const transfers = sent.receivers.find(receiver);
+    if (transfers != sent.receivers.end())
     {
-        entry->second.open.clear();
+        transfers->second.open.clear();
     }
     return sent;
 }
 
 bool is_overdue(outbox const& sent, incarnation_id const& receiver)
 {
-    auto const entry = sent.receivers.find(receiver);
-    return entry != sent.receivers.end() &&
-           std::any_of(entry->second.open.begin(), entry->second.open.end(),
+    auto const transfers = sent.receivers.find(receiver);
+    return transfers != sent.receivers.end() &&
+           std::any_of(transfers->second.open.begin(),
+                       transfers->second.open.end(),
                        [](auto const& entry)
                        { return entry.second.tries >= overdue_tries; });
 }
