--- a/src/fleet/event_splitter.cpp
+++ b/src/fleet/event_splitter.cpp
@@ -12,8 +12,8 @@
 constexpr std::string_view id_field = "id:";
 constexpr std::string_view data_field = "data";
 
-/// The end of the first event in `text`, or npos. An event ends with an empty
-/// line, and lines end with LF or CR LF.
+/// The end of the first event in `text`, or npos; the search begins at `from`.
+/// An event ends with an empty line, and lines end with LF or CR LF.
 std::size_t event_end(std::string_view text, std::size_t from)
 {
     for (auto at = text.find('\n', from); at != std::string_view::npos;
--- a/tests/fleet/crash_record_test.cpp
+++ b/tests/fleet/crash_record_test.cpp
@@ -131,7 +131,7 @@
                std::to_string(of.late_fatal_sends) + ", requests " +
                std::to_string(of.requests) + ", rejected " +
                std::to_string(of.rejected) + ", failed " +
-               std::to_string(of.failed) + ", held " +
+               std::to_string(of.failed) + ", quarantined " +
                std::to_string(of.quarantined);
     }
 
