--- a/tests/fleet/crash_fleet.cpp
+++ b/tests/fleet/crash_fleet.cpp
@@ -90,7 +90,7 @@
     {
         auto const is_quarantined =
             judge(entry.evidence) == crash_verdict::quarantined;
-        this->result.quarantined +=
+        this->result.held +=
             is_quarantined && request != fingerprint_for(fatal) ? 1 : 0;
     }
     return this->result;
@@ -131,7 +131,7 @@
         judge(evidence_of(record, fingerprint_for(one.request)));
     if (verdict == crash_verdict::quarantined)
     {
-        this->result.rejected += one.request == fatal ? 0 : 1;
+        this->result.refused += one.request == fatal ? 0 : 1;
         return;
     }
     auto const alone = this->on_probation[one.router].contains(one.request);
--- a/tests/fleet/crash_fleet.hpp
+++ b/tests/fleet/crash_fleet.hpp
@@ -37,10 +37,10 @@
     std::int64_t fatal_crashes{};
     /// Sends of the fatal request after its third crash and a grace period.
     std::int64_t late_fatal_sends{};
-    std::int64_t requests{};   ///< other than fatal, without retries
-    std::int64_t rejected{};   ///< of these, found quarantined
-    std::int64_t failed{};     ///< of these, without a response in the end
-    std::size_t quarantined{}; ///< different ones in quarantine at the end
+    std::int64_t requests{}; ///< other than fatal, without retries
+    std::int64_t refused{};  ///< of these, found quarantined
+    std::int64_t failed{};   ///< of these, without a response in the end
+    std::size_t held{};      ///< different ones in quarantine at the end
 };
 
 /// Simulates routers that use the crash record, servers that crash under one
@@ -55,8 +55,8 @@
     /// All servers of one of three failure domains crash at this time.
     void lose_domain_at(instant at);
 
-    /// The store accepts no evidence until `end`.
-    void lose_store_until(instant end);
+    /// The store accepts no evidence until `at`.
+    void lose_store_until(instant at);
 
     crash_fleet_result run();
 
--- a/tests/fleet/crash_record_test.cpp
+++ b/tests/fleet/crash_record_test.cpp
@@ -129,10 +129,9 @@
     {
         return "crashes " + std::to_string(of.fatal_crashes) + ", late sends " +
                std::to_string(of.late_fatal_sends) + ", requests " +
-               std::to_string(of.requests) + ", rejected " +
-               std::to_string(of.rejected) + ", failed " +
-               std::to_string(of.failed) + ", quarantined " +
-               std::to_string(of.quarantined);
+               std::to_string(of.requests) + ", refused " +
+               std::to_string(of.refused) + ", failed " +
+               std::to_string(of.failed) + ", held " + std::to_string(of.held);
     }
 
     // Guards against a request that crashes servers of many routers, one after
@@ -165,8 +164,8 @@
             crash_fleet all{shape};
             all.lose_domain_at(instant{10'000});
             auto const got = all.run();
-            CPPUNIT_ASSERT_MESSAGE(description(got), got.rejected == 0);
-            CPPUNIT_ASSERT_MESSAGE(description(got), got.quarantined == 0);
+            CPPUNIT_ASSERT_MESSAGE(description(got), got.refused == 0);
+            CPPUNIT_ASSERT_MESSAGE(description(got), got.held == 0);
         }
     }
 
@@ -181,7 +180,7 @@
             shape.popular = 1 + seed;
             crash_fleet all{shape};
             auto const got = all.run();
-            CPPUNIT_ASSERT_MESSAGE(description(got), got.quarantined == 0);
+            CPPUNIT_ASSERT_MESSAGE(description(got), got.held == 0);
         }
     }
 };
